--- a/benchlink/src/codes.rs
+++ b/benchlink/src/codes.rs
@@ -50,7 +50,7 @@
         252 => Outcome::ConnectFailed,
         251 => Outcome::Reset,
         250 => Outcome::Cancelled,
-        249 => Outcome::Moot,
+        249 => Outcome::NotSent,
         _ => return None,
     })
 }
@@ -79,9 +79,9 @@
         "active" => LoadField::Active,
         "waiting" => LoadField::Waiting,
         "cpu" => LoadField::Cpu,
-        "avg_ms" => LoadField::ServiceMs,
-        "rps" => LoadField::ServedPerS,
-        "err_rps" => LoadField::ErrorsPerS,
+        "avg_ms" => LoadField::ServiceTimeMs,
+        "rps" => LoadField::ServedPerSecond,
+        "err_rps" => LoadField::ErrorsPerSecond,
         _ => LoadField::Other,
     }
 }
--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -1,4 +1,4 @@
-//! Carries caperwind's events and actions over the bench's wire. Translation only.
+//! Translates between the simulator's wire format and the events and actions of caperwind.
 #![forbid(unsafe_code)]
 
 mod codes;
@@ -13,15 +13,17 @@
 
 pub use settings::parse as parse_settings;
 
-/// The instances that this process hosts; they share nothing.
+/// The gateways that this process hosts, by instance number. They share no state.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Gateway>,
 }
 
 impl Host {
-    /// Answers one batch: its clock, its record count, and what follows the header.
-    pub fn batch(&mut self, now: u64, count: u32, body: &[u8]) -> Result<Vec<u8>, String> {
+    /// Handles a batch of `count` records at the time `now` (microseconds) and returns the reply frame.
+    /// `body` is the frame without its header. Fails if a record is malformed, has invalid settings, or is
+    /// for an instance that does not run.
+    pub fn handle_batch(&mut self, now: u64, count: u32, body: &[u8]) -> Result<Vec<u8>, String> {
         let mut reply = Reply::default();
         let mut actions: Vec<Action> = Vec::new();
         for (instance, record) in wire::decode(count, body)? {
@@ -55,7 +57,8 @@
         Ok(reply.frame())
     }
 
-    /// Serves frames until the input ends between two of them.
+    /// Reads frames and writes the reply to each until the input ends between two frames. Fails if the input
+    /// ends inside a frame, if a batch is malformed, and on I/O errors.
     pub fn serve(&mut self, mut input: impl Read, output: impl Write) -> Result<(), String> {
         let mut output = BufWriter::new(output);
         let mut header = [0u8; 16];
@@ -66,12 +69,12 @@
             let (len, count) = (u32::from_le_bytes(word(8)), u32::from_le_bytes(word(12)));
             let rest = len.checked_sub(4).ok_or("frame shorter than its header")?;
             body.clear();
-            // `take` grows the buffer with what really comes: a false length allocates nothing.
+            // `take` grows the buffer with the bytes that arrive, so that a false length allocates nothing.
             let got = (&mut input).take(u64::from(rest)).read_to_end(&mut body);
             if got.map_err(|e| e.to_string())? != rest as usize {
                 return Err("input ends inside a frame".into());
             }
-            let reply = self.batch(clock, count, &body)?;
+            let reply = self.handle_batch(clock, count, &body)?;
             output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
         }
         Ok(())
--- a/benchlink/src/settings.rs
+++ b/benchlink/src/settings.rs
@@ -1,9 +1,9 @@
-//! Reads the settings text of a new instance; unknown keys are skipped.
+//! Parses the settings text (JSON) of a new instance. Unknown keys are ignored.
 
 use crate::codes;
 use caperwind::{
-    Ceiling, Class, Config, Counter, Discovery, Effect, GatewayIx, KeyGroup, LoadVia, Plan, WeightKind,
-    ZoneIx,
+    Ceiling, Class, Config, CounterSettings, Discovery, Effect, GatewayIndex, KeyGroup, LoadReportSource,
+    Plan, WeightKind, ZoneIndex,
 };
 use serde::Deserialize;
 
@@ -138,8 +138,8 @@
     };
     Ok(Class {
         name: c.name,
-        aim: c.aim_us,
-        aim_stretch: c.aim_stretch,
+        target_latency: c.aim_us,
+        target_stretch: c.aim_stretch,
         deadline: c.deadline_us,
         worth: c.worth,
         late_worth: c.late_worth,
@@ -154,7 +154,7 @@
         name: t.name,
         rate: t.quota_rate,
         burst: t.peak_units,
-        at_once: t.at_once,
+        max_concurrent: t.at_once,
         price: t.price,
         over_worth: t.over_worth,
         over_cost: t.beyond_costs,
@@ -162,13 +162,14 @@
     }
 }
 
-/// Translates the settings text; the error is one plain line.
+/// Parses the settings text (JSON) into a [`Config`]. The error is one line that names the setting with a
+/// missing or unknown value.
 pub fn parse(text: &[u8]) -> Result<Config, String> {
     let info: Info = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     let (limits, rules, extra) = (info.policy_limits, info.invariants, info.extra);
     let discovery = match info.discovery.as_str() {
         "pushed" => Discovery::Pushed,
-        "on_request" => Discovery::OnRequest { ask_every: rules.ask_every_us },
+        "on_request" => Discovery::OnRequest { ask_interval: rules.ask_every_us },
         other => return Err(unknown("discovery", other)),
     };
     let weights = match info.weights.as_str() {
@@ -179,16 +180,16 @@
         other => return Err(unknown("weights", other)),
     };
     let load_via = match info.load_info.via.as_str() {
-        "inline" => LoadVia::Answers,
-        "on_probe" => LoadVia::Probes,
-        "off" | "" => LoadVia::Off,
+        "inline" => LoadReportSource::Answers,
+        "on_probe" => LoadReportSource::Probes,
+        "off" | "" => LoadReportSource::Off,
         other => return Err(unknown("load_info.via", other)),
     };
-    let counter = Counter { timeout: extra.count_limit_us, call_price: extra.call_price };
+    let counter = CounterSettings { timeout: extra.count_limit_us, call_price: extra.call_price };
     Ok(Config {
-        me: GatewayIx(info.me),
+        own_index: GatewayIndex(info.me),
         gateways: info.balancers,
-        zone: ZoneIx(info.zone),
+        zone: ZoneIndex(info.zone),
         zones: info.zones,
         machine_kinds: info.kinds,
         classes: info.classes.into_iter().map(class).collect::<Result<_, _>>()?,
@@ -196,24 +197,24 @@
         discovery,
         weights,
         load_fields: info.load_info.names.iter().map(|n| codes::load_field(n)).collect(),
-        load_via,
+        load_report_source: load_via,
         counter: extra.shared_counter.then_some(counter),
         meter_period: extra.use_period_us,
-        units_top: extra.units_top,
-        cost_after: extra.cost_after,
+        max_units: extra.units_top,
+        billed_on_response: extra.cost_after,
         tick: info.tick_us,
         max_attempts: limits.max_attempts,
         may_cancel: limits.cancel,
         may_probe: limits.probes,
-        second_copies: limits.second_copies,
-        retry_advice: limits.retry_after,
-        max_advice: limits.max_retry_after_us,
+        hedging: limits.second_copies,
+        send_retry_after: limits.retry_after,
+        max_retry_after: limits.max_retry_after_us,
         connect_timeout: limits.connect_timeout_us,
         answer_slack: rules.answer_slack_us,
         drain_grace: rules.drain_grace_us,
-        cold_from: rules.cold_from,
+        cold_capacity: rules.cold_from,
         warm_up: rules.warm_up_us,
-        fall_multiple: rules.fall_multiple,
-        fall_after: rules.tip_after_us,
+        collapse_multiple: rules.fall_multiple,
+        collapse_after: rules.tip_after_us,
     })
 }
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -2,8 +2,9 @@
 
 use crate::codes::{self, ACTION_LEN, ENTRY_LEN, EVENT_LEN};
 use caperwind::{
-    Action, Arrival, AttemptIx, BackendId, BackendRow, CellIx, ClassIx, CountName, CustomerId, Ended, Event,
-    GatewayIx, KindIx, LoadReport, PlanIx, Reckoned, RequestId, TimerToken, ZoneIx,
+    Action, Arrival, AttemptIndex, AttemptResult, BackendId, BackendRow, CellIndex, ClassIndex, CounterKey,
+    CounterResult, CustomerId, Event, GatewayIndex, LoadReport, MachineKindIndex, PlanIndex, RequestId,
+    TimerToken, ZoneIndex,
 };
 
 /// A record of a batch: an instance's life, or an event for it.
@@ -54,10 +55,10 @@
     let f = Fields(raw);
     let state = codes::state(f.u8(12)).ok_or_else(|| format!("unknown state {}", f.u8(12)))?;
     Ok(BackendRow {
-        cell: CellIx(f.u16(0)),
-        kind: KindIx(f.u8(2)),
-        zone: ZoneIx(f.u8(3)),
-        started: f.u64(4),
+        cell: CellIndex(f.u16(0)),
+        kind: MachineKindIndex(f.u8(2)),
+        zone: ZoneIndex(f.u8(3)),
+        started_at: f.u64(4),
         state,
         backend: f.backend(13),
         weight: f64::from(f.f32(19)),
@@ -84,8 +85,8 @@
         },
         codes::INCOMING => Event::Request(Arrival {
             id,
-            class: ClassIx(f.u16(10)),
-            plan: PlanIx(f.u16(12)),
+            class: ClassIndex(f.u16(10)),
+            plan: PlanIndex(f.u16(12)),
             customer: CustomerId(f.u64(14)),
             deadline: f.u64(22),
             units: f64::from(f.f32(30)),
@@ -93,25 +94,25 @@
             first_gateway: f64::from(f.f32(38)),
             client_repeat: f.u8(42) & codes::BIT_REPEAT != 0,
             write: f.u8(42) & codes::BIT_WRITE != 0,
-            coming: false,
+            body_pending: false,
         }),
-        codes::FLOWING => Event::Flowing {
+        codes::FLOWING => Event::StreamStarted {
             id,
-            attempt: AttemptIx(f.u8(10)),
+            attempt: AttemptIndex(f.u8(10)),
             backend: f.backend(11),
             elapsed: u64::from(f.u32(17)),
         },
-        codes::ATTEMPT_END => Event::AttemptEnded(Ended {
+        codes::ATTEMPT_END => Event::AttemptEnded(AttemptResult {
             id,
-            attempt: AttemptIx(f.u8(10)),
+            attempt: AttemptIndex(f.u8(10)),
             backend: f.backend(11),
             outcome: outcome(f.u16(17))?,
             elapsed: u64::from(f.u32(19)),
-            settled: f.u8(23) != 0,
-            fleet_use: f.u16(24).checked_sub(1).map(|p| f64::from(p) / 100.0),
-            billed: Some(f.u16(26)).filter(|&b| b > 0).map(f64::from),
+            request_done: f.u8(23) != 0,
+            quota_use: f.u16(24).checked_sub(1).map(|p| f64::from(p) / 100.0),
+            billed_units: Some(f.u16(26)).filter(|&b| b > 0).map(f64::from),
             load: f.load(28),
-            spent: false,
+            body_consumed: false,
         }),
         codes::EXPIRED => Event::ClientGone { id },
         codes::DEADLINE_HIT => Event::Timer { token: TimerToken(f.u64(6)) },
@@ -122,14 +123,14 @@
             load: f.load(18),
         },
         codes::FROM_PEER => {
-            Event::Message { from: GatewayIx(u32::from(f.u16(6))), payload: f.tail(8, tail, 1)?.to_vec() }
+            Event::Message { from: GatewayIndex(u32::from(f.u16(6))), payload: f.tail(8, tail, 1)?.to_vec() }
         }
-        codes::RECKONED => Event::Counted {
-            name: CountName(f.u64(6)),
+        codes::RECKONED => Event::CounterCallEnded {
+            key: CounterKey(f.u64(6)),
             result: match f.u16(14) {
-                0 => Reckoned::Total(f64::from(f.f32(16))),
-                254 | 252 => Reckoned::NotAdded,
-                253 => Reckoned::Unanswered,
+                0 => CounterResult::Total(f64::from(f.f32(16))),
+                254 | 252 => CounterResult::NotAdded,
+                253 => CounterResult::Unanswered,
                 other => return Err(format!("unknown count outcome {other}")),
             },
             elapsed: u64::from(f.u32(20)),
@@ -193,7 +194,7 @@
                 let within = micros(timeout.unwrap_or(0)).to_le_bytes();
                 self.put(codes::TRY, instance, &[&id.0.to_le_bytes(), &place(backend), &within]);
             }
-            Action::Refuse { id, wait, .. } => {
+            Action::Refuse { id, retry_after: wait, .. } => {
                 let wait = micros(*wait).to_le_bytes();
                 self.put(codes::REJECT, instance, &[&id.0.to_le_bytes(), &wait]);
             }
@@ -211,7 +212,7 @@
             Action::CloseIdle { backend } => {
                 self.put(codes::RELEASE, instance, &[&place(backend)]);
             }
-            Action::Tell { to, payload } => {
+            Action::SendMessage { to, payload } => {
                 let peer = to.map_or(codes::ALL_PEERS, |g| g.0).to_le_bytes();
                 let span = self.text(payload);
                 self.put(codes::SIGNAL, instance, &[&peer, &span]);
@@ -224,7 +225,7 @@
                 self.put(codes::KEEP_INFORMED, instance, &[&[u8::from(*on)]]);
             }
             Action::FetchList => self.put(codes::SNAPSHOT, instance, &[]),
-            Action::Count { name, amount, keep } => {
+            Action::CallCounter { key: name, amount, lifetime: keep } => {
                 let (amount, keep) = ((*amount as f32).to_le_bytes(), micros(*keep).to_le_bytes());
                 self.put(codes::ADD_TO, instance, &[&amount, &keep, &name.0.to_le_bytes()]);
             }
--- a/node/src/admission.rs
+++ b/node/src/admission.rs
@@ -1,7 +1,7 @@
 //! What is let in of what clients send: the checks of a head.
 
 use crate::body::MAX_BODY_BYTES;
-use caperwind::{ClassIx, Config, CustomerId, Effect, Micros, PlanIx};
+use caperwind::{ClassIndex, Config, CustomerId, Effect, Micros, PlanIndex};
 use hyper::header::{CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
@@ -64,7 +64,7 @@
         }
         let info = QuotaInfo { units: units?, spread: spread?, first: first? };
         let sound = info.units >= 1
-            && f64::from(info.units) <= module.units_top.max(1.0)
+            && f64::from(info.units) <= module.max_units.max(1.0)
             && (1..=module.gateways).contains(&info.spread)
             && info.first < module.gateways;
         sound.then_some(info)
@@ -75,8 +75,8 @@
 pub struct Terms {
     /// What the client calls it.
     pub id: Rc<str>,
-    pub class: ClassIx,
-    pub plan: PlanIx,
+    pub class: ClassIndex,
+    pub plan: PlanIndex,
     pub customer: CustomerId,
     pub units: f64,
     pub spread: f64,
@@ -139,8 +139,8 @@
     let info = info.ok_or(bad("Quota-Info: missing or malformed\n"))?;
     let terms = Terms {
         id: id.into(),
-        class: ClassIx(class_at as u16),
-        plan: PlanIx(plan as u16),
+        class: ClassIndex(class_at as u16),
+        plan: PlanIndex(plan as u16),
         customer: CustomerId(customer),
         units: f64::from(info.units),
         spread: f64::from(info.spread),
--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -154,7 +154,7 @@
             }
             // Danger: the window of a repeat may have ended while the connection came up.
             if limits.too_late() {
-                return Ok(Outcome::Moot.into());
+                return Ok(Outcome::NotSent.into());
             }
             // Danger: the backend may have begun to drain, or be elsewhere, since the connection was begun.
             let era = self.era(id);
@@ -165,14 +165,14 @@
             }
             let left = deadline.get().saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Ok(Outcome::Moot.into());
+                return Ok(Outcome::NotSent.into());
             }
             let told = message.time_to_tell(left);
             let backend_in_service = era == Some(connection.era);
             let facts = SendFacts { client_closed, backend_in_service, left, told };
             if let Err(violation) = facts.check() {
                 self.guard.refused(violation, &format!("{} {}", message.method, message.target));
-                return Ok(Outcome::Moot.into());
+                return Ok(Outcome::NotSent.into());
             }
             let request = message.request(told);
             let (head, before) = (head_length(&request), connection.link.written());
@@ -209,7 +209,7 @@
     async fn open_by(&self, id: BackendId, begin_by: Option<Instant>) -> Result<Connection, Outcome> {
         match begin_by {
             None => self.open(id).await,
-            Some(by) => timeout_at(by, self.open(id)).await.unwrap_or(Err(Outcome::Moot)),
+            Some(by) => timeout_at(by, self.open(id)).await.unwrap_or(Err(Outcome::NotSent)),
         }
     }
 
@@ -280,7 +280,7 @@
             };
             let request =
                 Request::get("/load").header(HOST, "backend.local").body(Either::Left(Full::default()));
-            let Ok(request) = request else { return Outcome::Moot.into() };
+            let Ok(request) = request else { return Outcome::NotSent.into() };
             let length = head_length(&request);
             let response = match connection.link.send(request, || Some(length)).await {
                 Ok(response) => response,
--- a/node/src/backend/load_report.rs
+++ b/node/src/backend/load_report.rs
@@ -21,9 +21,9 @@
             "inflight" | "active" => LoadField::Active,
             "queue" | "waiting" => LoadField::Waiting,
             "util" | "cpu" => LoadField::Cpu,
-            "latency_ms" | "avg_ms" => LoadField::ServiceMs,
-            "qps" | "rps" => LoadField::ServedPerS,
-            "eps" | "err_rps" => LoadField::ErrorsPerS,
+            "latency_ms" | "avg_ms" => LoadField::ServiceTimeMs,
+            "qps" | "rps" => LoadField::ServedPerSecond,
+            "eps" | "err_rps" => LoadField::ErrorsPerSecond,
             _ => continue,
         };
         let place = fields.iter().take(report.values.len()).position(|f| *f == field);
--- a/node/src/backend/pool.rs
+++ b/node/src/backend/pool.rs
@@ -84,7 +84,7 @@
             holds: Cell::new(setup.idle_retire),
             connect: Duration::from_micros(setup.module.connect_timeout),
             load_fields: setup.module.load_fields.clone(),
-            units_top: setup.module.units_top.max(1.0),
+            units_top: setup.module.max_units.max(1.0),
             bodies: Budget::new(setup.body_bytes),
             barred: RefCell::default(),
             attempts_written: Rc::default(),
@@ -198,9 +198,9 @@
         let (began, mut pause) = (Instant::now(), FIRST_PAUSE);
         loop {
             let peer = self.peers.borrow().get(&id).map(|p| (p.address, p.era));
-            let (address, era) = peer.ok_or(Outcome::Moot)?;
+            let (address, era) = peer.ok_or(Outcome::NotSent)?;
             // Danger: want of a descriptor here is no news of the backend, which would be ejected for it.
-            let permit = self.permit().ok_or(Outcome::Moot)?;
+            let permit = self.permit().ok_or(Outcome::NotSent)?;
             let failed = match timeout(self.connect, Link::connect(address)).await {
                 Ok(Ok(link)) => return Ok(Connection { link, address, era, _permit: permit }),
                 Ok(Err(e)) => local_error(&e),
@@ -208,7 +208,7 @@
             };
             self.local_failures.note(failed.ok_or(Outcome::ConnectFailed)?);
             if began.elapsed() >= MAX_WAIT {
-                return Err(Outcome::Moot);
+                return Err(Outcome::NotSent);
             }
             sleep(pause).await;
             pause = (pause * 2).min(LONGEST_PAUSE);
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -140,7 +140,7 @@
         let file: File = read()?;
         let settings = serde_json::to_vec(&file.settings).map_err(|e| e.to_string())?;
         let module = caperwind_benchlink::parse_settings(&settings)?;
-        module.check().map_err(|e| e.to_string())?;
+        module.validate().map_err(|e| e.to_string())?;
         let idle_close = file.settings.pointer("/policy_limits/idle_close_us").and_then(|v| v.as_u64());
         let idle_close = Duration::from_micros(idle_close.unwrap_or(15_000_000));
         let limits = file.limits.unwrap_or(Limits { sockets: None, memory_mb: None });
--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::link::{head_length, Broken, Link, SETTLE};
 use bytes::Bytes;
-use caperwind::{CountName, Counter as Limits, Micros, Reckoned};
+use caperwind::{CounterKey, CounterResult, CounterSettings as Limits, Micros};
 use http_body_util::{BodyExt, Either, Full, Limited};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -23,9 +23,9 @@
 /// Who is told what became of calls.
 pub trait Results {
     /// A call's one result.
-    fn counted(&self, name: CountName, result: Reckoned, elapsed: Micros);
+    fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros);
     /// What became of a call that was told as overdue.
-    fn counted_late(&self, name: CountName, amount: f64, result: Reckoned);
+    fn counted_late(&self, name: CounterKey, amount: f64, result: CounterResult);
 }
 
 /// Connections to the counter.
@@ -111,7 +111,7 @@
     }
 
     /// Starts a call.
-    pub fn call<R>(self: &Rc<Self>, results: R, clock: Clock, name: CountName, amount: f64, life: Micros)
+    pub fn call<R>(self: &Rc<Self>, results: R, clock: Clock, name: CounterKey, amount: f64, life: Micros)
     where
         R: Results + 'static,
     {
@@ -125,7 +125,7 @@
                 results.counted(name, result, clock.now().saturating_sub(began));
             };
             let Some((permit, link)) = counter.checkout(until).await else {
-                return tell(Reckoned::NotAdded);
+                return tell(CounterResult::NotAdded);
             };
             let moves = counter.moves.get();
             let call = ask(link, &path);
@@ -139,8 +139,9 @@
                     link
                 }
                 Err(_) => {
-                    tell(Reckoned::Overdue);
-                    let (end, link) = timeout(LINGER, call).await.unwrap_or((Reckoned::Unanswered, None));
+                    tell(CounterResult::Overdue);
+                    let (end, link) =
+                        timeout(LINGER, call).await.unwrap_or((CounterResult::Unanswered, None));
                     results.counted_late(name, amount, end);
                     link
                 }
@@ -194,25 +195,25 @@
 }
 
 /// One call; also the connection, where it may be used again.
-async fn ask(mut link: Link, path: &str) -> (Reckoned, Option<Link>) {
+async fn ask(mut link: Link, path: &str) -> (CounterResult, Option<Link>) {
     let request = hyper::Request::post(path).header("host", "counter").header("content-length", "0");
     let Ok(request) = request.body(Either::Left(Full::new(Bytes::new()))) else {
-        return (Reckoned::NotAdded, None);
+        return (CounterResult::NotAdded, None);
     };
     let length = head_length(&request);
     let answer = match link.send(request, || Some(length)).await {
         Ok(answer) => answer,
-        Err(Broken { written: true }) => return (Reckoned::Unanswered, None),
-        Err(_) => return (Reckoned::NotAdded, None),
+        Err(Broken { written: true }) => return (CounterResult::Unanswered, None),
+        Err(_) => return (CounterResult::NotAdded, None),
     };
     let status = answer.status().as_u16();
     let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES).collect().await.ok().map(|b| b.to_bytes());
     let total = body.as_deref().and_then(|b| std::str::from_utf8(b).ok()?.trim().parse::<f64>().ok());
     match (status, total.filter(|v| v.is_finite())) {
-        (503 | 400 | 404, _) => (Reckoned::NotAdded, body.is_some().then_some(link)),
-        (200, Some(total)) => (Reckoned::Total(total), Some(link)),
+        (503 | 400 | 404, _) => (CounterResult::NotAdded, body.is_some().then_some(link)),
+        (200, Some(total)) => (CounterResult::Total(total), Some(link)),
         // Danger: an answer with no number is spoilt. The amount was added, and what else comes on that
         // connection is anyone's.
-        _ => (Reckoned::Unanswered, None),
+        _ => (CounterResult::Unanswered, None),
     }
 }
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -17,8 +17,8 @@
 use crate::reasons::{Reasons, Refused};
 use backend_list::{BackendList, Listed, MAX_BACKENDS};
 use caperwind::{
-    Action, Arrival, BackendId, BackendRow, BackendState, Config, CountName, Effect, Event, Gateway, Legacy,
-    ListKind, Micros, Reckoned, RefusalReason, RequestId, Spent,
+    Action, Arrival, BackendId, BackendRow, BackendState, Config, CounterKey, CounterResult, Effect, Event,
+    Gateway, HandoverState, ListKind, Micros, RefusalReason, RequestId, UnsyncedUnits,
 };
 use hyper::{Response, StatusCode};
 use report::Tally;
@@ -256,7 +256,7 @@
             first_gateway: terms.first_gateway,
             client_repeat: terms.client_repeat,
             write: false,
-            coming,
+            body_pending: coming,
         }));
         self.run(&mut core, now);
         Ok(Ticket { driver: self.clone(), id, answer, deadline: ends, done: false })
@@ -290,7 +290,7 @@
         let mut core = self.0.core.borrow_mut();
         let backend = core.backends.bar(name, out);
         self.0.pool.bar(backend, out);
-        core.events.push_back(Event::Barred { backend, out });
+        core.events.push_back(Event::BackendDisabled { backend, disabled: out });
         self.run(&mut core, self.0.clock.now());
     }
 
@@ -299,17 +299,17 @@
         self.0.core.borrow().backends.snapshot()
     }
 
-    pub fn legacy(&self) -> Legacy {
-        self.0.core.borrow().gateway.legacy()
+    pub fn legacy(&self) -> HandoverState {
+        self.0.core.borrow().gateway.handover_state()
     }
 
-    pub fn spent(&self) -> Vec<Spent> {
-        self.0.core.borrow_mut().gateway.spent()
+    pub fn spent(&self) -> Vec<UnsyncedUnits> {
+        self.0.core.borrow_mut().gateway.take_unsynced_units()
     }
 
     /// Whether units are to be told to the counter still.
     pub fn has_unsent(&self) -> bool {
-        self.0.core.borrow().gateway.has_unsent()
+        self.0.core.borrow().gateway.has_unsynced_units()
     }
 
     /// Whether units are told to a counter at all.
@@ -317,16 +317,16 @@
         self.0.module.counter.is_some()
     }
 
-    pub fn inherit(&self, legacy: Legacy) {
-        self.feed(Event::Inherited(Box::new(legacy)));
+    pub fn inherit(&self, legacy: HandoverState) {
+        self.feed(Event::HandoverReceived(Box::new(legacy)));
     }
 
-    pub fn take_over(&self, spent: Vec<Spent>) {
-        self.feed(Event::Spent(spent));
+    pub fn take_over(&self, spent: Vec<UnsyncedUnits>) {
+        self.feed(Event::UnsyncedUnits(spent));
     }
 
     pub fn paired(&self, on: bool) {
-        self.feed(Event::Paired { on });
+        self.feed(Event::OtherProcess { serving: on });
     }
 
     /// Waits until discovery has told a list.
@@ -344,8 +344,8 @@
 
     /// Backends listed, and of these the ones that get nothing new; and attempts written whole.
     pub fn backends(&self) -> (usize, usize, u64) {
-        let v = self.0.core.borrow().gateway.vitals();
-        (v.listed, v.skipped, self.0.pool.attempts_written.get())
+        let v = self.0.core.borrow().gateway.diagnostics();
+        (v.listed_backends, v.skipped_backends, self.0.pool.attempts_written.get())
     }
 
     /// The list kept from an earlier life.
@@ -423,14 +423,14 @@
 }
 
 impl Results for Shared {
-    fn counted(&self, name: CountName, result: Reckoned, elapsed: Micros) {
+    fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
         self.0.core.borrow_mut().tally.call(result);
-        self.feed(Event::Counted { name, result, elapsed });
+        self.feed(Event::CounterCallEnded { key: name, result, elapsed });
     }
 
-    fn counted_late(&self, name: CountName, amount: f64, result: Reckoned) {
+    fn counted_late(&self, name: CounterKey, amount: f64, result: CounterResult) {
         self.0.core.borrow_mut().tally.late_call(result);
-        self.feed(Event::CountedLate { name, amount, result });
+        self.feed(Event::OverdueCallEnded { key: name, amount, result });
     }
 }
 
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -5,7 +5,9 @@
 use crate::backend::{AttemptLimits, ClientClosed, Finish};
 use crate::guard::{EarlierAttempt, RepeatFacts};
 use crate::reasons::outcome_name;
-use caperwind::{Action, AttemptIx, BackendId, Ended, Event, Micros, Outcome, RequestId, SendReason};
+use caperwind::{
+    Action, AttemptIndex, AttemptResult, BackendId, Event, Micros, Outcome, RequestId, SendReason,
+};
 
 /// An attempt that the module wants.
 struct SendOrder {
@@ -42,11 +44,11 @@
 
     fn act(&self, core: &mut Core, now: Micros, action: Action) {
         match action {
-            Action::Send { id, backend, timeout, begin_by, why } => {
+            Action::Send { id, backend, timeout, begin_by, reason: why } => {
                 let order = SendOrder { id, backend, timeout, begin_by, why };
                 self.send(core, now, order);
             }
-            Action::Refuse { id, wait, why } => {
+            Action::Refuse { id, retry_after: wait, reason: why } => {
                 let tried = core.requests.get(&id).is_some_and(|r| r.attempts > 0);
                 self.answer(core, id, Reply::Refused { wait, tried, why });
             }
@@ -66,7 +68,7 @@
                 });
             }
             Action::CloseIdle { backend } => self.0.pool.close_idle(backend),
-            Action::Count { name, amount, keep } => {
+            Action::CallCounter { key: name, amount, lifetime: keep } => {
                 self.0.counter.call(self.clone(), self.0.clock, name, amount, keep);
             }
             Action::Log { line } => log::info!("{line}"),
@@ -74,7 +76,7 @@
             Action::Subscribe { .. } => {}
             Action::FetchList => core.refetch = true,
             // Gateways share nothing but the counter.
-            Action::Tell { .. } => {}
+            Action::SendMessage { .. } => {}
         }
     }
 
@@ -89,17 +91,17 @@
             earlier: &open.history,
             now,
             max_attempts: self.0.module.max_attempts,
-            second_copies: self.0.module.second_copies,
+            second_copies: self.0.module.hedging,
         };
         let allowed = facts.check();
         if let Err(violation) = allowed {
             self.guard().refused(violation, &format!("request {:?}, attempt {attempt}", open.name));
         }
         let may_begin = allowed.is_ok() && open.reply.is_some() && !spent && now < open.deadline;
-        let outcome = if may_begin { None } else { Some(Outcome::Moot) };
+        let outcome = if may_begin { None } else { Some(Outcome::NotSent) };
         open.history.push(EarlierAttempt { sent: now, outcome });
         if !may_begin {
-            let moot = Outcome::Moot.into();
+            let moot = Outcome::NotSent.into();
             core.events.push_back(ended(id, attempt, backend, 0, open.reply.is_none(), spent, moot));
             return;
         }
@@ -202,16 +204,16 @@
     spent: bool,
     f: Finish,
 ) -> Event {
-    Event::AttemptEnded(Ended {
+    Event::AttemptEnded(AttemptResult {
         id,
-        attempt: AttemptIx(attempt),
+        attempt: AttemptIndex(attempt),
         backend,
         outcome: f.outcome,
         elapsed,
-        settled,
-        fleet_use: None,
-        billed: f.billed,
+        request_done: settled,
+        quota_use: None,
+        billed_units: f.billed,
         load: f.load,
-        spent,
+        body_consumed: spent,
     })
 }
--- a/node/src/driver/backend_list.rs
+++ b/node/src/driver/backend_list.rs
@@ -2,7 +2,9 @@
 
 use crate::endpoints::{Endpoint, List, Status};
 use crate::hash::{fnv1a, fnv1a_step};
-use caperwind::{BackendId, BackendRow, BackendState, CellIx, Config, KindIx, Micros, ZoneIx};
+use caperwind::{
+    BackendId, BackendRow, BackendState, CellIndex, Config, MachineKindIndex, Micros, ZoneIndex,
+};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 /// Backends remembered; further ones are passed over.
@@ -136,10 +138,10 @@
     BackendRow {
         backend,
         state: BackendState::from(endpoint.status),
-        cell: CellIx(endpoint.group),
-        kind: KindIx(place(&module.machine_kinds, &endpoint.kind)),
-        zone: ZoneIx(place(&module.zones, &endpoint.zone)),
-        started: endpoint.since_ms.saturating_mul(1000),
+        cell: CellIndex(endpoint.group),
+        kind: MachineKindIndex(place(&module.machine_kinds, &endpoint.kind)),
+        zone: ZoneIndex(place(&module.zones, &endpoint.zone)),
+        started_at: endpoint.since_ms.saturating_mul(1000),
         weight: endpoint.weight,
     }
 }
--- a/node/src/driver/report.rs
+++ b/node/src/driver/report.rs
@@ -1,6 +1,6 @@
 //! What has ended how since the last report, and the line in the log that tells it.
 
-use caperwind::{Outcome, Reckoned, Refusals, Vitals};
+use caperwind::{CounterResult, Diagnostics, Outcome, RefusalCounts};
 
 /// Sweeps from one report in the log to the next.
 const SWEEPS: u32 = 5;
@@ -14,7 +14,7 @@
     /// Calls to the counter: totals in time, turned away, unanswered, overdue, and overdue ones that came.
     calls: [u32; 5],
     /// Refusals as the module had counted them by then.
-    before: Refusals,
+    before: RefusalCounts,
 }
 
 impl Tally {
@@ -24,24 +24,24 @@
     }
 
     /// A call to the counter has its result.
-    pub fn call(&mut self, result: Reckoned) {
+    pub fn call(&mut self, result: CounterResult) {
         let place = match result {
-            Reckoned::Total(_) => 0,
-            Reckoned::NotAdded => 1,
-            Reckoned::Unanswered => 2,
-            Reckoned::Overdue => 3,
+            CounterResult::Total(_) => 0,
+            CounterResult::NotAdded => 1,
+            CounterResult::Unanswered => 2,
+            CounterResult::Overdue => 3,
         };
         self.calls[place] += 1;
     }
 
     /// A call that was overdue has its result.
-    pub fn late_call(&mut self, result: Reckoned) {
-        self.calls[4] += u32::from(matches!(result, Reckoned::Total(_)));
+    pub fn late_call(&mut self, result: CounterResult) {
+        self.calls[4] += u32::from(matches!(result, CounterResult::Total(_)));
     }
 
     /// One line that tells why requests were refused of late and how attempts and calls ended; `None` between the
     /// reports, and where there is nothing to tell.
-    pub fn sweep(&mut self, vitals: &Vitals, open: usize) -> Option<String> {
+    pub fn sweep(&mut self, vitals: &Diagnostics, open: usize) -> Option<String> {
         self.sweeps += 1;
         if self.sweeps < SWEEPS {
             return None;
@@ -58,20 +58,20 @@
              backends {} ejected {}; attempts: ok {ok} error {error} full {full} timeout {timeout} \
              connect {connect} reset {reset} cancelled {cancelled} moot {moot}; counter: ok {total} away {away} \
              unanswered {unanswered} overdue {overdue} late {late} pace {:.2} window {:.0}; held: customers {} names {}",
-            vitals.refusals.over - before.over,
-            vitals.refusals.blind - before.blind,
-            vitals.refusals.pressed - before.pressed,
-            vitals.refusals.nowhere - before.nowhere,
-            vitals.expected / 1e3,
-            vitals.idle / 1e3,
-            vitals.out,
-            vitals.lost,
-            vitals.listed,
-            vitals.ejected,
-            vitals.pace,
-            vitals.calls_most,
+            vitals.refusals.over_quota - before.over_quota,
+            vitals.refusals.no_fresh_total - before.no_fresh_total,
+            vitals.refusals.overloaded - before.overloaded,
+            vitals.refusals.no_backend - before.no_backend,
+            vitals.expected_latency_us / 1e3,
+            vitals.idle_latency_us / 1e3,
+            vitals.in_flight,
+            vitals.stalled,
+            vitals.listed_backends,
+            vitals.ejected_backends,
+            vitals.call_pace,
+            vitals.max_calls,
             vitals.customers,
-            vitals.names,
+            vitals.counter_keys,
         ))
     }
 }
--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -67,7 +67,7 @@
                     self.0.pool.sweep();
                     self.0.counter.sweep();
                     core.backends.forget_gone(now);
-                    let (vitals, open) = (core.gateway.vitals(), core.requests.len());
+                    let (vitals, open) = (core.gateway.diagnostics(), core.requests.len());
                     if let Some(line) = core.tally.sweep(&vitals, open) {
                         log::info!("{line}");
                     }
--- a/node/src/figures.rs
+++ b/node/src/figures.rs
@@ -3,7 +3,7 @@
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
 use crate::logging::LimitedLog;
 use crate::reasons::Reasons;
-use caperwind::{ClassIx, Config};
+use caperwind::{ClassIndex, Config};
 use hyper::StatusCode;
 use serde_json::{json, Map, Value};
 use std::cell::{Cell, RefCell};
@@ -65,7 +65,7 @@
     }
 
     /// A class's name, as the settings give it.
-    pub fn class_name(&self, class: ClassIx) -> &str {
+    pub fn class_name(&self, class: ClassIndex) -> &str {
         self.classes.get(usize::from(class.0)).map_or("unknown", String::as_str)
     }
 
@@ -88,7 +88,7 @@
     }
 
     /// Counts a request, once, where its final answer is settled.
-    pub fn settle(&self, class: ClassIx, ending: Ending) {
+    pub fn settle(&self, class: ClassIndex, ending: Ending) {
         if let Some(counts) = self.ended.borrow_mut().get_mut(usize::from(class.0)) {
             counts[ending as usize] += 1;
         }
--- a/node/src/guard.rs
+++ b/node/src/guard.rs
@@ -117,7 +117,7 @@
 
 impl EarlierAttempt {
     fn may_have_run(&self) -> bool {
-        !matches!(self.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+        !matches!(self.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -6,7 +6,7 @@
 use crate::config::Held;
 use crate::driver::Shared;
 use crate::endpoints::List;
-use caperwind::{Legacy, Spent};
+use caperwind::{HandoverState, UnsyncedUnits};
 use meeting_point::MeetingPoint;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -57,7 +57,7 @@
     /// The connections that it holds, of those that all may hold together.
     Held(Held),
     /// The last message of a process that ends.
-    Spent(Vec<Spent>),
+    Spent(Vec<UnsyncedUnits>),
 }
 
 #[derive(Serialize, Deserialize)]
@@ -65,7 +65,7 @@
     list: List,
     barred: Vec<String>,
     draining: bool,
-    module: Legacy,
+    module: HandoverState,
 }
 
 /// The clients' listening socket, which the platform holds for every process of this gateway.
--- a/node/src/reasons.rs
+++ b/node/src/reasons.rs
@@ -76,7 +76,7 @@
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
 
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -14,7 +14,7 @@
 use crate::figures::{Ending, Taken};
 use crate::reasons::Refused;
 use bytes::Bytes;
-use caperwind::{ClassIx, Micros};
+use caperwind::{ClassIndex, Micros};
 use http_body_util::{Either, Full};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER, TRANSFER_ENCODING};
@@ -117,7 +117,7 @@
         head: &Parts,
         body: Incoming,
         length: Option<u64>,
-        class: ClassIx,
+        class: ClassIndex,
         client: &Rc<ClientConnection>,
         upload: &mut UploadWatch,
     ) -> Result<Received, Fault> {
--- a/node/src/server/transfer.rs
+++ b/node/src/server/transfer.rs
@@ -5,7 +5,7 @@
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
 use crate::figures::{Ending, Figures, Taken};
 use bytes::Bytes;
-use caperwind::ClassIx;
+use caperwind::ClassIndex;
 use hyper::body::{Body, Frame, SizeHint};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 #[derive(Clone)]
 pub struct RequestLabel {
     /// Its class.
-    pub class: ClassIx,
+    pub class: ClassIndex,
     /// The client's name for it.
     pub id: Rc<str>,
 }
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -5,7 +5,7 @@
 
 use badgerglade::clock::Clock;
 use badgerglade::counter::{Counter, Results};
-use caperwind::{CountName, Micros, Reckoned};
+use caperwind::{CounterKey, CounterResult, Micros};
 use common::*;
 use std::collections::HashMap;
 use std::future::Future;
@@ -25,8 +25,8 @@
 /// What the client was told of a call, in time or late.
 #[derive(Debug, PartialEq, Clone, Copy)]
 enum Told {
-    Now(Reckoned),
-    Late(Reckoned),
+    Now(CounterResult),
+    Late(CounterResult),
 }
 use Told::{Late, Now};
 
@@ -34,10 +34,10 @@
 struct Ends(UnboundedSender<(u64, Told)>);
 
 impl Results for Ends {
-    fn counted(&self, name: CountName, result: Reckoned, _: Micros) {
+    fn counted(&self, name: CounterKey, result: CounterResult, _: Micros) {
         let _ = self.0.send((name.0, Now(result)));
     }
-    fn counted_late(&self, name: CountName, _: f64, result: Reckoned) {
+    fn counted_late(&self, name: CounterKey, _: f64, result: CounterResult) {
         let _ = self.0.send((name.0, Late(result)));
     }
 }
@@ -52,13 +52,13 @@
 impl Client {
     /// One whose calls have so long.
     fn within(limit: Duration, address: std::net::SocketAddr, what: &str) -> Self {
-        let limits = caperwind::Counter { timeout: limit.as_micros() as u64, call_price: 0.0 };
+        let limits = caperwind::CounterSettings { timeout: limit.as_micros() as u64, call_price: 0.0 };
         let ((ends, told), counter) = (unbounded_channel(), Counter::new(Some(address), Some(limits), 20));
         Client { counter, ends: Ends(ends), what: what.to_owned(), told }
     }
 
     fn call(&self, name: u64) {
-        self.counter.call(self.ends.clone(), Clock::start(), CountName(name), 1.0, 4_000_000);
+        self.counter.call(self.ends.clone(), Clock::start(), CounterKey(name), 1.0, 4_000_000);
     }
 
     async fn next(&mut self) -> (u64, Told) {
@@ -119,8 +119,8 @@
 /// in step: what comes back, what the call counts as, and whether the next call goes over the same connection.
 #[test]
 fn an_answer_counts_as_what_the_protocol_says() {
+    use CounterResult::{NotAdded, Overdue, Total, Unanswered};
     use Reaction::{Answer, AnswerAndClose, Break, Pieces, PiecesAndReset, Silence};
-    use Reckoned::{NotAdded, Overdue, Total, Unanswered};
     let no_length = |body: &str| format!("HTTP/1.1 200 OK\r\n\r\n{body}");
     let chunked = |rest: &str| format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{rest}");
     let split = |text: &str| text.bytes().map(|b| (0, char::from(b).to_string())).collect::<Vec<_>>();
@@ -225,7 +225,7 @@
             for name in 1..calls {
                 assert_eq!(
                     client.ask(name).await,
-                    Now(Reckoned::Total(name as f64)),
+                    Now(CounterResult::Total(name as f64)),
                     "{pause} ms between calls"
                 );
                 sleep(Duration::from_millis(pause)).await;
@@ -247,10 +247,10 @@
             ends.push(client.next().await.1);
         }
         let count = |end| ends.iter().filter(|e| **e == end).count();
-        let (away, overdue) = (count(Now(Reckoned::NotAdded)), count(Now(Reckoned::Overdue)));
-        assert_eq!((away, overdue, count(Late(Reckoned::Unanswered))), (20, 20, 20));
+        let (away, overdue) = (count(Now(CounterResult::NotAdded)), count(Now(CounterResult::Overdue)));
+        assert_eq!((away, overdue, count(Late(CounterResult::Unanswered))), (20, 20, 20));
         assert_eq!(silent.connections.load(Ordering::SeqCst), 20);
-        assert_eq!(client.ask(99).await, Now(Reckoned::Overdue), "the places are free again");
+        assert_eq!(client.ask(99).await, Now(CounterResult::Overdue), "the places are free again");
 
         let well = Fake::start(named);
         let mut client = Client::within(LONG, well.address, "bursts");
@@ -258,7 +258,7 @@
             (0..16).for_each(|n| client.call(16 * round + n));
             for _ in 0..16 {
                 let (name, end) = client.next().await;
-                assert_eq!(end, Now(Reckoned::Total(name as f64)));
+                assert_eq!(end, Now(CounterResult::Total(name as f64)));
             }
         }
         let most = well.open.1.load(Ordering::SeqCst);
@@ -294,7 +294,7 @@
 /// counter has moved back.
 #[test]
 fn calls_end_where_they_are_and_later_ones_go_to_the_new_address() {
-    use Reckoned::{Overdue, Total};
+    use CounterResult::{Overdue, Total};
     run(async {
         let ((old, go), new) = (holding(), Fake::start(named));
         let mut client = Client::within(4 * SHORT, old.address, "moves");
@@ -343,7 +343,7 @@
             if back {
                 client.counter.move_to(address);
             }
-            assert_eq!(client.next().await, (1, Now(Reckoned::Total(1.0))));
+            assert_eq!(client.next().await, (1, Now(CounterResult::Total(1.0))));
             let (old, new) = (old.seen.try_iter().count(), new.seen.try_iter().count());
             assert_eq!((old, new), if back { (1, 0) } else { (0, 1) });
         });
@@ -371,7 +371,7 @@
         (0..20).for_each(|n| client.call(n));
         for _ in 0..20 {
             let (name, end) = client.next().await;
-            assert_eq!(end, Now(Reckoned::Total(name as f64)));
+            assert_eq!(end, Now(CounterResult::Total(name as f64)));
         }
     });
 }
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -24,7 +24,7 @@
 const STEP: Duration = Duration::from_millis(25);
 /// Polls after which what is on its way over the loopback has come.
 const SETTLE: usize = 12;
-const ASKED: Discovery = Discovery::OnRequest { ask_every: 10_000_000 };
+const ASKED: Discovery = Discovery::OnRequest { ask_interval: 10_000_000 };
 const MODES: [Discovery; 2] = [Discovery::Pushed, ASKED];
 /// The sizes of fleets, in the settings.
 const FLEETS: [u32; 4] = [1, 100, 300, 1024];
--- a/node/tests/guard.rs
+++ b/node/tests/guard.rs
@@ -38,7 +38,7 @@
         assert_eq!(check(KEYED, outcome, 999), Ok(()));
         assert_eq!(check(KEYED, outcome, 1_000), Err(Violation::RepeatAfterWindow));
     }
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::NotSent] {
         assert_eq!(check(Effect::Unsafe, Some(outcome), 1), Ok(()));
         assert_eq!(check(KEYED, Some(outcome), 1_000), Ok(()));
     }
--- a/node/tests/pool.rs
+++ b/node/tests/pool.rs
@@ -146,7 +146,7 @@
             tokio::task::yield_now().await;
         }
         let found = timeout(AT_ONCE, attempt(&pool, &second)).await.expect("no wait");
-        assert!(found.is_ok_and(|f| f.outcome == Outcome::Moot));
+        assert!(found.is_ok_and(|f| f.outcome == Outcome::NotSent));
         // Given up, the first one's room is free at once.
         out.abort();
         assert!(out.await.is_err());
@@ -176,7 +176,7 @@
 /// may reach the module as a number.
 #[test]
 fn a_load_figure_that_can_not_be_read_is_not_told() {
-    let fields = [LoadField::ServiceMs, LoadField::ServedPerS, LoadField::Waiting];
+    let fields = [LoadField::ServiceTimeMs, LoadField::ServedPerSecond, LoadField::Waiting];
     let told = |text| {
         let load = parse_load(&fields, text);
         load.values.map(|v| v.is_finite().then_some(v))[..usize::from(load.len)].to_vec()
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,11 +1,11 @@
-//! The interface of the decision module: what a gateway is told ([`Config`], [`Event`]) and what
-//! it may do ([`Action`]). Times are microseconds of the caller's clock. No decision lives here.
+//! The types of the decision module's interface: its settings ([`Config`]), its input ([`Event`]) and its
+//! output ([`Action`]). Times are microseconds on the caller's monotonic event clock.
 
-use crate::succession::Legacy;
+use crate::succession::HandoverState;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Microseconds, on the event clock or as a span.
+/// A point on the event clock, or a duration, in microseconds.
 pub type Micros = u64;
 
 macro_rules! ids {
@@ -17,94 +17,94 @@
 }
 
 ids! {
-    /// A request held by this gateway; never reused.
+    /// Identifies a request of this gateway. Ids are never reused.
     RequestId(u32);
-    /// A customer, the owner of a quota.
+    /// Identifies a customer. Quotas are kept per customer and plan.
     CustomerId(u64);
-    /// Index into [`Config::classes`].
-    ClassIx(u16);
-    /// Index into [`Config::plans`].
-    PlanIx(u16);
-    /// Index into [`Config::zones`].
-    ZoneIx(u8);
-    /// Index into [`Config::machine_kinds`].
-    KindIx(u8);
-    /// A set of backends that share which keys they have seen.
-    CellIx(u16);
-    /// A request's attempt, counted from 0 in the order of sending.
-    AttemptIx(u8);
-    /// A sibling gateway, numbered from 0.
-    GatewayIx(u32);
-    /// The name of a number on the shared counter.
-    CountName(u64);
-    /// A timer's token, chosen by the module.
+    /// An index into [`Config::classes`].
+    ClassIndex(u16);
+    /// An index into [`Config::plans`].
+    PlanIndex(u16);
+    /// An index into [`Config::zones`].
+    ZoneIndex(u8);
+    /// An index into [`Config::machine_kinds`].
+    MachineKindIndex(u8);
+    /// Identifies a cell: a set of backends that share the idempotency keys they have seen.
+    CellIndex(u16);
+    /// The number of an attempt within its request, from 0 in the order of sending.
+    AttemptIndex(u8);
+    /// The number of a gateway within the fleet, from 0.
+    GatewayIndex(u32);
+    /// The key of a number on the shared counter.
+    CounterKey(u64);
+    /// Identifies a timer. Chosen by the decision module.
     TimerToken(u64);
 }
 
-/// A backend's address; says nothing of its zone, kind or age.
+/// Identifies a backend by its address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct BackendId {
-    /// Address bytes in network order.
+    /// The IPv4 address, in network byte order.
     pub address: [u8; 4],
-    /// Port.
+    /// The port.
     pub port: u16,
 }
 
-/// Whether a class may run more than once.
+/// Whether requests of a class may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated freely.
+    /// May be repeated without limit.
     Pure,
-    /// Carries a key: backends of a group drop repeats within a time.
+    /// Carries an idempotency key: the backends of a group discard repeats for a limited time.
     Keyed {
-        /// The backends that drop each other's repeats.
+        /// The backends that discard each other's repeats.
         group: KeyGroup,
-        /// Their memory, from the sending of the first attempt that may have run.
+        /// How long they remember a key, from the sending of the first attempt that may have run.
         window: Micros,
     },
     /// Must never run twice.
     Unsafe,
 }
 
-/// Which backends discard repeats of a keyed request.
+/// The backends that discard repeats of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyGroup {
-    /// Every backend.
+    /// All backends.
     All,
-    /// Those of the first backend's zone.
+    /// The backends in the zone of the first attempt's backend.
     Zone,
-    /// Those of the first backend's cell.
+    /// The backends in the cell of the first attempt's backend.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Its name, for people only.
+    /// The name, used in messages and to compare the settings of two processes.
     pub name: String,
-    /// Answers within this earn full worth.
-    pub aim: Micros,
-    /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
-    /// Total wait of a client over all its tries.
+    /// A response within this time earns the full worth.
+    pub target_latency: Micros,
+    /// The target latency grows by this multiple of the request's own service time.
+    pub target_stretch: f64,
+    /// How long a client waits in total, over all its tries.
     pub deadline: Micros,
-    /// Worth of a request.
+    /// The worth of a request answered within the target latency.
     pub worth: f64,
-    /// Fraction of worth paid between aim and deadline.
+    /// The fraction of the worth that a response earns between target latency and deadline.
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// Whether the answer is streamed.
+    /// Whether the response is streamed.
     pub stream: bool,
 }
 
 impl Class {
-    /// A class that is safe to repeat, worth 1.
+    /// Returns a class of requests that may be repeated, with a worth of 1 and nothing for late responses.
     pub fn pure(name: &str, aim: Micros, deadline: Micros) -> Self {
         Class {
             name: name.into(),
-            aim,
-            aim_stretch: 0.0,
+            target_latency: aim,
+            target_stretch: 0.0,
             deadline,
             worth: 1.0,
             late_worth: 0.0,
@@ -114,35 +114,35 @@
     }
 }
 
-/// A plan: the quotas that hold for each of its customers over all gateways together.
+/// A plan: the quotas of each of its customers, over all gateways together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Its name, for people only.
+    /// The name, used in messages and to match the plans of two processes.
     pub name: String,
-    /// Units a second; 0: no such quota.
+    /// The sustained rate in units per second; 0 for no rate quota.
     pub rate: f64,
-    /// Units the store holds; it starts full.
+    /// The capacity of the quota in units; it starts full.
     pub burst: f64,
-    /// Attempts out at once; 0: no such quota.
-    pub at_once: u32,
-    /// Worth factor.
+    /// The number of concurrent attempts; 0 for no such quota.
+    pub max_concurrent: u32,
+    /// A factor on the worth of this plan's requests.
     pub price: f64,
-    /// Fraction of worth earned beyond the quota.
+    /// The fraction of the worth that a request beyond the quota earns.
     pub over_worth: f64,
-    /// Fraction of worth that a try beyond the quota costs.
+    /// The fraction of the worth that sending a request beyond the quota costs.
     pub over_cost: f64,
-    /// The hard ceiling, where there is one.
+    /// The hard ceiling, if the plan has one.
     pub ceiling: Option<Ceiling>,
 }
 
 impl Plan {
-    /// A plan with a rate and a burst alone.
-    pub fn rated(name: &str, rate: f64, burst: f64) -> Self {
+    /// Returns a plan with a rate (units per second) and a burst (units) as its only quota.
+    pub fn with_rate(name: &str, rate: f64, burst: f64) -> Self {
         Plan {
             name: name.into(),
             rate,
             burst,
-            at_once: 0,
+            max_concurrent: 0,
             price: 1.0,
             over_worth: 0.0,
             over_cost: 1.0,
@@ -151,150 +151,151 @@
     }
 }
 
-/// A second store that first tries must never overdraw.
+/// A second token bucket, which first attempts must never overdraw.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ceiling {
-    /// Units a second.
+    /// The refill rate in units per second.
     pub rate: f64,
-    /// Units held at most, and at the start.
+    /// The capacity in units; the bucket starts full.
     pub burst: f64,
-    /// How far below 0 it may go.
+    /// How many units below 0 the bucket may go.
     pub slack: f64,
 }
 
-/// How the list of backends is learnt.
+/// How a gateway learns the list of backends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Discovery {
-    /// Changes arrive unasked.
+    /// Changes are pushed to the gateway.
     Pushed,
-    /// Only after [`Action::Subscribe`] or [`Action::FetchList`].
+    /// Lists arrive only after [`Action::Subscribe`] or [`Action::FetchList`].
     OnRequest {
-        /// A gateway that has not asked for this long counts as told.
-        ask_every: Micros,
+        /// A gateway that has not asked for this long is taken to know the present list.
+        ask_interval: Micros,
     },
 }
 
-/// What a listed weight means.
+/// The meaning of the weight in a list of backends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WeightKind {
-    /// Always 1.
+    /// No weights: always 1.
     Off,
-    /// Registered size.
+    /// The registered size of the backend.
     Nominal,
-    /// Approximate size.
+    /// An approximate size.
     Rough,
-    /// Size over 1 + load, stale.
+    /// The size divided by 1 + load, as of some time ago.
     Live,
 }
 
-/// A value in a load report.
+/// The meaning of a value in a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadField {
-    /// Requests in hand.
+    /// The number of requests in progress.
     Active,
-    /// Requests queued.
+    /// The number of requests queued.
     Waiting,
-    /// Fraction of CPU in use.
+    /// The fraction of the CPU in use.
     Cpu,
-    /// Recent service time, milliseconds.
-    ServiceMs,
-    /// Requests served a second.
-    ServedPerS,
-    /// Errors a second.
-    ErrorsPerS,
-    /// A value unknown to this library.
+    /// The recent service time in milliseconds.
+    ServiceTimeMs,
+    /// Requests served per second.
+    ServedPerSecond,
+    /// Errors per second.
+    ErrorsPerSecond,
+    /// A value that this library does not use.
     Other,
 }
 
-/// Where load reports come along.
+/// Where load reports are found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadVia {
-    /// In outcomes and probe results.
+pub enum LoadReportSource {
+    /// In the responses to attempts and probes.
     Answers,
-    /// In probe results alone.
+    /// In the responses to probes only.
     Probes,
-    /// Nowhere.
+    /// There are no load reports.
     Off,
 }
 
-/// The shared counter.
+/// The settings of the shared counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Counter {
-    /// A call unanswered by then has timed out.
+pub struct CounterSettings {
+    /// A call that is not answered within this time is overdue.
     pub timeout: Micros,
-    /// Points for a call per first try.
+    /// The cost, in points of worth, of one call per first attempt.
     pub call_price: f64,
 }
 
-/// Settings of one gateway.
+/// The settings of one gateway.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// This gateway's number.
-    pub me: GatewayIx,
-    /// Gateways in all.
+    /// The number of this gateway within the fleet.
+    pub own_index: GatewayIndex,
+    /// The number of gateways in the fleet.
     pub gateways: u32,
-    /// This gateway's zone.
-    pub zone: ZoneIx,
-    /// Names of zones.
+    /// The zone of this gateway.
+    pub zone: ZoneIndex,
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Names of machine kinds.
+    /// The names of the machine kinds.
     pub machine_kinds: Vec<String>,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Plans of customers.
+    /// The plans of customers.
     pub plans: Vec<Plan>,
-    /// How lists arrive.
+    /// How the list of backends is learnt.
     pub discovery: Discovery,
-    /// Meaning of listed weights.
+    /// The meaning of listed weights.
     pub weights: WeightKind,
-    /// Values of a load report, in order.
+    /// The values of a load report, in their order.
     pub load_fields: Vec<LoadField>,
-    /// Where load reports come along.
-    pub load_via: LoadVia,
-    /// The shared counter, where there is one.
-    pub counter: Option<Counter>,
-    /// Period of the usage meter; 0: none.
+    /// Where load reports are found.
+    pub load_report_source: LoadReportSource,
+    /// The shared counter, if there is one.
+    pub counter: Option<CounterSettings>,
+    /// The period of the usage meter; 0 for no meter.
     pub meter_period: Micros,
-    /// Units one request counts at most.
-    pub units_top: f64,
-    /// Units are a guess; answers carry the true ones.
-    pub cost_after: bool,
-    /// Spacing of batches.
+    /// The largest number of units that one request takes.
+    pub max_units: f64,
+    /// Whether the units of a request are an estimate, which the response corrects.
+    pub billed_on_response: bool,
+    /// The interval at which batches of events are delivered.
     pub tick: Micros,
-    /// Attempts a request may have.
+    /// The largest number of attempts per request.
     pub max_attempts: u32,
-    /// Whether attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Whether probes are allowed.
+    /// Whether backends may be probed.
     pub may_probe: bool,
-    /// Whether two attempts may be out together.
-    pub second_copies: bool,
-    /// Whether clients are told how long to wait.
-    pub retry_advice: bool,
-    /// Longest wait that a client honours.
-    pub max_advice: Micros,
-    /// A connection not made by then has failed.
+    /// Whether a request may have two attempts in flight.
+    pub hedging: bool,
+    /// Whether refused clients are told how long to wait.
+    pub send_retry_after: bool,
+    /// The longest wait that clients honour; none longer is told.
+    pub max_retry_after: Micros,
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
-    /// Grace after a client's deadline.
+    /// How long after its deadline a client still takes a response.
     pub answer_slack: Micros,
-    /// Window for ending sends to a draining or gone backend.
+    /// How soon a backend that is listed as draining or gone must get no more attempts.
     pub drain_grace: Micros,
-    /// A cold backend starts at no less than this part of its capacity.
-    pub cold_from: f64,
-    /// And is warm no later than this.
+    /// The fraction of its capacity, at the least, that a backend has when it starts.
+    pub cold_capacity: f64,
+    /// The time after its start by which a backend has its full capacity.
     pub warm_up: Micros,
-    /// Sent more than this multiple of its present capacity ...
-    pub fall_multiple: f64,
-    /// ... for this long, a cold backend collapses.
-    pub fall_after: Micros,
+    /// A cold backend collapses when it is sent more than this multiple of its present capacity
+    /// throughout [`Config::collapse_after`].
+    pub collapse_multiple: f64,
+    /// How long a cold backend bears that overload before it collapses.
+    pub collapse_after: Micros,
 }
 
 impl Default for Config {
     fn default() -> Self {
         Config {
-            me: GatewayIx(0),
+            own_index: GatewayIndex(0),
             gateways: 1,
-            zone: ZoneIx(0),
+            zone: ZoneIndex(0),
             zones: Vec::new(),
             machine_kinds: Vec::new(),
             classes: Vec::new(),
@@ -302,35 +303,35 @@
             discovery: Discovery::Pushed,
             weights: WeightKind::Off,
             load_fields: Vec::new(),
-            load_via: LoadVia::Off,
+            load_report_source: LoadReportSource::Off,
             counter: None,
             meter_period: 0,
-            units_top: 1.0,
-            cost_after: false,
+            max_units: 1.0,
+            billed_on_response: false,
             tick: 1_000,
             max_attempts: 3,
             may_cancel: true,
             may_probe: true,
-            second_copies: true,
-            retry_advice: true,
-            max_advice: 1_000_000,
+            hedging: true,
+            send_retry_after: true,
+            max_retry_after: 1_000_000,
             connect_timeout: 250_000,
             answer_slack: 8_000,
             drain_grace: 250_000,
-            cold_from: 0.2,
+            cold_capacity: 0.2,
             warm_up: 15_000_000,
-            fall_multiple: 2.0,
-            fall_after: 2_000_000,
+            collapse_multiple: 2.0,
+            collapse_after: 2_000_000,
         }
     }
 }
 
-/// A setting that is missing or impossible.
+/// A setting that is missing or invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigError {
-    /// Which setting.
+    /// The name of the setting.
     pub setting: String,
-    /// What is wrong with it.
+    /// What is wrong with the setting.
     pub problem: &'static str,
 }
 
@@ -343,97 +344,98 @@
 impl std::error::Error for ConfigError {}
 
 impl Config {
-    /// Refuses, by name, what no gateway could work with.
-    pub fn check(&self) -> Result<(), ConfigError> {
-        let bad = |setting: String, problem| Err(ConfigError { setting, problem });
+    /// Checks that a gateway can work with these settings; the error names the first one that is invalid.
+    pub fn validate(&self) -> Result<(), ConfigError> {
+        let invalid = |setting: String, problem| Err(ConfigError { setting, problem });
         if self.classes.is_empty() {
-            return bad("classes".into(), "none given");
+            return invalid("classes".into(), "must not be empty");
         }
         if self.plans.is_empty() {
-            return bad("plans".into(), "none given");
+            return invalid("plans".into(), "must not be empty");
         }
         if self.gateways == 0 {
-            return bad("gateways".into(), "must be at least 1");
+            return invalid("gateways".into(), "must be at least 1");
         }
-        let fits = |v: f64| v.is_finite() && v >= 0.0;
-        let figures = [
-            ("cold_from", self.cold_from),
-            ("fall_multiple", self.fall_multiple),
-            ("units_top", self.units_top),
+        let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        let numbers = [
+            ("cold_from", self.cold_capacity),
+            ("fall_multiple", self.collapse_multiple),
+            ("units_top", self.max_units),
         ];
-        for (name, v) in figures {
-            if !fits(v) {
-                return bad(name.into(), "must be finite and not negative");
+        for (name, value) in numbers {
+            if !is_valid(value) {
+                return invalid(name.into(), "must be finite and not negative");
             }
         }
-        for c in &self.classes {
-            if c.deadline == 0 || c.aim == 0 {
-                return bad(format!("classes.{}", c.name), "aim and deadline must be above 0");
+        for class in &self.classes {
+            if class.deadline == 0 || class.target_latency == 0 {
+                return invalid(format!("classes.{}", class.name), "aim and deadline must be above 0");
             }
-            if ![c.worth, c.late_worth, c.aim_stretch].into_iter().all(fits) {
-                return bad(format!("classes.{}", c.name), "worth must be finite and not negative");
+            if ![class.worth, class.late_worth, class.target_stretch].into_iter().all(is_valid) {
+                return invalid(format!("classes.{}", class.name), "worth must be finite and not negative");
             }
         }
-        for p in &self.plans {
-            let (rate, burst, slack) = p.ceiling.map_or((0.0, 0.0, 0.0), |c| (c.rate, c.burst, c.slack));
-            let all = [p.rate, p.burst, p.price, p.over_worth, p.over_cost, rate, burst, slack];
-            if !all.into_iter().all(fits) {
-                return bad(format!("plans.{}", p.name), "figures must be finite and not negative");
+        for plan in &self.plans {
+            let (rate, burst, slack) = plan.ceiling.map_or((0.0, 0.0, 0.0), |c| (c.rate, c.burst, c.slack));
+            let numbers =
+                [plan.rate, plan.burst, plan.price, plan.over_worth, plan.over_cost, rate, burst, slack];
+            if !numbers.into_iter().all(is_valid) {
+                return invalid(format!("plans.{}", plan.name), "numbers must be finite and not negative");
             }
-            if p.rate > 0.0 && p.burst <= 0.0 {
-                return bad(format!("plans.{}.burst", p.name), "a rate needs a burst above 0");
+            if plan.rate > 0.0 && plan.burst <= 0.0 {
+                return invalid(format!("plans.{}.burst", plan.name), "a rate needs a burst above 0");
             }
         }
         Ok(())
     }
 }
 
-/// How a list of backends is to be read.
+/// The contents of a list of backends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed rows only.
+    /// Only the rows that have changed.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as last held, perhaps stale.
+    /// The complete list as last known, which may be stale.
     Cached,
-    /// The call failed or the subscription broke; no rows.
+    /// No rows: the call failed or the subscription broke.
     Failed,
 }
 
-/// A backend's listed state.
+/// The listed state of a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum BackendState {
-    /// Its process runs.
+    /// The backend takes requests.
     #[default]
     Ready,
-    /// It finishes its work and takes no more.
+    /// The backend finishes its work and takes no new requests.
     Draining,
-    /// It has been removed.
+    /// The backend has been removed.
     Gone,
 }
 
 /// A row of a list of backends.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BackendRow {
-    /// Which backend.
+    /// The backend.
     pub backend: BackendId,
     /// Its state.
     pub state: BackendState,
     /// Its cell.
-    pub cell: CellIx,
+    pub cell: CellIndex,
     /// Its machine kind.
-    pub kind: KindIx,
+    pub kind: MachineKindIndex,
     /// Its zone.
-    pub zone: ZoneIx,
-    /// When it last started; 0: long past.
-    pub started: Micros,
-    /// Its size; see [`WeightKind`].
+    pub zone: ZoneIndex,
+    /// When its process last started, on the event clock; 0 for a start long ago.
+    pub started_at: Micros,
+    /// Its weight; see [`WeightKind`].
     pub weight: f64,
 }
 
 impl BackendRow {
-    /// A row of size 1 that started long ago.
+    /// Returns the row of a backend of weight 1 that started long ago.
     pub fn new(backend: BackendId, state: BackendState) -> Self {
         BackendRow { backend, state, weight: 1.0, ..BackendRow::default() }
     }
@@ -442,257 +444,266 @@
 /// How an attempt or a probe ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The backend served the request.
     Ok,
-    /// The backend answered with an error; possibly ran.
+    /// The backend answered with an error; the request may have run.
     Error,
-    /// Turned away unseen.
+    /// The backend had no room and rejected the request, which did not run.
     Full,
-    /// No answer in time; possibly ran.
+    /// No response came in time; the request may have run.
     Timeout,
-    /// No connection in time; never ran.
+    /// No connection was established in time; the request did not run.
     ConnectFailed,
-    /// The connection broke; possibly ran.
+    /// The connection broke; the request may have run.
     Reset,
-    /// Called off; possibly ran.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
-    Moot,
+    /// The attempt was never sent.
+    NotSent,
 }
 
-/// How a call to the counter ended.
+/// The result of a call to the counter.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Reckoned {
-    /// The number after the call.
+pub enum CounterResult {
+    /// The total after the call, in units.
     Total(f64),
-    /// Nothing was added: turned away or not reached.
+    /// Nothing was added: the call was rejected, or the counter was not reached.
     NotAdded,
-    /// No answer; the amount may have been added.
+    /// No answer came; the amount may have been added.
     Unanswered,
-    /// No answer in time; [`Event::CountedLate`] will tell what became of the call.
+    /// No answer came in time; an [`Event::OverdueCallEnded`] with the final result follows.
     Overdue,
 }
 
-/// A backend's report of load: values in the order of [`Config::load_fields`].
+/// A backend's load report: values in the order of [`Config::load_fields`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// How many values came; 0: no report.
+    /// The number of values, 0 to 4; 0 for no report.
     pub len: u8,
-    /// The values.
+    /// The values; those from `len` on are unset.
     pub values: [f32; 4],
 }
 
 /// A client's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// Its id.
+    /// The request.
     pub id: RequestId,
     /// Its class.
-    pub class: ClassIx,
-    /// Its customer's plan.
-    pub plan: PlanIx,
+    pub class: ClassIndex,
+    /// The plan of its customer.
+    pub plan: PlanIndex,
     /// Its customer.
     pub customer: CustomerId,
-    /// When its client gives this try up.
+    /// When its client gives up this try, on the event clock.
     pub deadline: Micros,
-    /// Units it takes from the quota.
+    /// The units that it takes from the quota.
     pub units: f64,
-    /// Gateways that this customer can use.
+    /// The number of gateways that the customer's requests come through.
     pub spread: f64,
-    /// The first of these; the rest follow in sequence.
+    /// The number of the first of these gateways; the others follow in sequence.
     pub first_gateway: f64,
-    /// Marked as a client's repeat.
+    /// Whether the client marked it as a repeat.
     pub client_repeat: bool,
-    /// Marked as a write.
+    /// Whether the client marked it as a write.
     pub write: bool,
-    /// Its body is still coming and is passed on as it comes; [`Event::Uploaded`] tells when it has come.
-    pub coming: bool,
+    /// Whether its body is still being received, and forwarded as it arrives; an [`Event::Uploaded`] follows.
+    pub body_pending: bool,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ended {
-    /// Request.
+pub struct AttemptResult {
+    /// The request.
     pub id: RequestId,
-    /// Attempt.
-    pub attempt: AttemptIx,
-    /// Backend.
+    /// The attempt.
+    pub attempt: AttemptIndex,
+    /// The backend.
     pub backend: BackendId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Time since sending.
+    /// The time since the attempt was sent.
     pub elapsed: Micros,
-    /// Whether the request is over.
-    pub settled: bool,
-    /// The customer's metered use over all gateways, as a fraction of its quota.
-    pub fleet_use: Option<f64>,
-    /// The true units, where they come after.
-    pub billed: Option<f64>,
-    /// The backend's load.
+    /// Whether the client has got its final answer.
+    pub request_done: bool,
+    /// The customer's metered use over all gateways, as a fraction of its quota, if it is reported.
+    pub quota_use: Option<f64>,
+    /// The units that the backend billed, if the response tells them.
+    pub billed_units: Option<f64>,
+    /// The backend's load report.
     pub load: LoadReport,
-    /// What was passed on of the request can't be sent again: no further attempt.
-    pub spent: bool,
+    /// Whether a part of the body was forwarded that cannot be sent again, so that no attempt may follow.
+    pub body_consumed: bool,
 }
 
-/// Units of a customer in a window that are not on the counter yet.
+/// Units of a customer in a quota window that have not been added to the counter yet.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Spent {
-    /// Whose.
+pub struct UnsyncedUnits {
+    /// The customer.
     pub customer: CustomerId,
-    /// The name of its plan: places may differ between processes. Empty from a version that does not tell it.
+    /// The name of the customer's plan, as the index may differ between processes. Empty if it comes from a
+    /// version that does not send it.
     #[serde(default)]
     pub plan: String,
-    /// Gateways that it can use.
+    /// The number of gateways that the customer's requests come through.
     #[serde(default)]
     pub spread: f64,
-    /// The number of the window.
+    /// The number of the quota window.
     pub window: u64,
-    /// How many; below 0 where too many were counted.
+    /// The units; negative if too many were added.
     pub units: f64,
 }
 
-/// What happened.
+/// An input of the decision module.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A list of backends.
+    /// A list of backends arrived.
     Backends {
-        /// How to read it.
+        /// What the list contains.
         kind: ListKind,
-        /// Its version.
+        /// The version of the list.
         version: u64,
-        /// Its rows.
+        /// The rows.
         rows: Vec<BackendRow>,
     },
-    /// A client's request arrived; it is owed exactly one final answer.
+    /// A client's request arrived. It gets exactly one final answer.
     Request(Arrival),
-    /// The body of a request that was `coming` has come: its time counts from here.
+    /// The body of a request that arrived with `body_pending` is complete. Its latency and deadline count
+    /// from here.
     Uploaded {
-        /// Request.
+        /// The request.
         id: RequestId,
-        /// When its client gives this try up.
+        /// When its client gives up this try, on the event clock.
         deadline: Micros,
     },
-    /// A streamed answer has begun.
-    Flowing {
-        /// Request.
+    /// A streamed response has begun.
+    StreamStarted {
+        /// The request.
         id: RequestId,
-        /// Attempt.
-        attempt: AttemptIx,
-        /// Backend.
+        /// The attempt.
+        attempt: AttemptIndex,
+        /// The backend.
         backend: BackendId,
-        /// Time since sending.
+        /// The time since it was sent.
         elapsed: Micros,
     },
-    /// An attempt ended; exactly one such event for each [`Action::Send`].
-    AttemptEnded(Ended),
-    /// The client left, or the answer is overdue.
+    /// An attempt ended. Exactly one such event follows each [`Action::Send`].
+    AttemptEnded(AttemptResult),
+    /// The client left, or its deadline passed without an answer.
     ClientGone {
-        /// Request.
+        /// The request.
         id: RequestId,
     },
-    /// A backend is taken out by hand, or put back; holds whatever the list says.
-    Barred {
-        /// Backend.
+    /// An operator disabled or enabled a backend. This holds whatever the list says.
+    BackendDisabled {
+        /// The backend.
         backend: BackendId,
-        /// Out; else back in.
-        out: bool,
+        /// True if disabled, false if enabled again.
+        disabled: bool,
     },
-    /// Operators send the clients away, or let them come again.
+    /// An operator began or ended the drain of this gateway.
     Drain {
-        /// Away.
+        /// True if the drain began.
         on: bool,
     },
-    /// What another process of this gateway knows, which this one is to take over from.
-    Inherited(Box<Legacy>),
-    /// Units that another process of this gateway has spent and will not tell the counter.
-    Spent(Vec<Spent>),
-    /// Another process of this gateway serves as well, or no more.
-    Paired {
-        /// Two serve.
-        on: bool,
+    /// The predecessor process of this gateway handed over its state.
+    HandoverReceived(Box<HandoverState>),
+    /// Another process of this gateway handed over units for this one to add to the counter.
+    UnsyncedUnits(Vec<UnsyncedUnits>),
+    /// Another process of this gateway began or stopped serving beside this one.
+    OtherProcess {
+        /// True while both processes serve.
+        serving: bool,
     },
-    /// A timer has come due.
+    /// A timer expired.
     Timer {
-        /// Its token.
+        /// The token given in [`Action::SetTimer`].
         token: TimerToken,
     },
     /// A probe ended.
     Probed {
-        /// Backend.
+        /// The backend.
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since sending.
+        /// The time since it was sent.
         elapsed: Micros,
-        /// The backend's load.
+        /// The backend's load report.
         load: LoadReport,
     },
-    /// A message from a sibling.
+    /// Another gateway sent a message.
     Message {
-        /// Its sender.
-        from: GatewayIx,
-        /// Its bytes.
+        /// The sender.
+        from: GatewayIndex,
+        /// The bytes of the message.
         payload: Vec<u8>,
     },
-    /// A call to the counter ended.
-    Counted {
-        /// The number's name.
-        name: CountName,
+    /// A call to the counter ended or became overdue.
+    CounterCallEnded {
+        /// The key of the number.
+        key: CounterKey,
         /// How it ended.
-        result: Reckoned,
-        /// Time since the call.
+        result: CounterResult,
+        /// The time since the call was made.
         elapsed: Micros,
     },
-    /// What became of a call that was told as [`Reckoned::Overdue`].
-    CountedLate {
-        /// The number's name.
-        name: CountName,
-        /// What the call was to add.
+    /// A call that was reported as [`CounterResult::Overdue`] ended.
+    OverdueCallEnded {
+        /// The key of the number.
+        key: CounterKey,
+        /// The units that the call was to add.
         amount: f64,
-        /// How it ended; `Unanswered`: nobody waits for its answer any more.
-        result: Reckoned,
+        /// The final result; `Unanswered` if its answer is no longer waited for.
+        result: CounterResult,
     },
 }
 
 /// Why an attempt is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendReason {
-    /// The request's first one.
+    /// The first attempt of the request.
     First,
-    /// The one before ended so, with no answer for the client.
+    /// The previous attempt ended with this outcome and left the client without an answer.
     Retry(Outcome),
-    /// The one that is out is late.
+    /// The attempt in flight is late.
     Hedge,
 }
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RefusalReason {
-    /// The customer's estimate is over its quota.
+    /// The customer's estimated use is over its quota.
     OverQuota,
-    /// There is no fresh total to go by, and own use is over this gateway's part.
-    Blind,
-    /// The fleet is taken to be too busy.
-    Pressed,
-    /// No backend may be sent to.
+    /// There is no fresh total from the counter, and the use seen here is over this gateway's share of the
+    /// quota.
+    NoFreshTotal,
+    /// The backends are estimated to be too busy.
+    Overloaded,
+    /// There is no backend that it may be sent to.
     NoBackend,
-    /// It was sent on, or waited to be, and none of its attempts can be followed by another.
+    /// It was sent or waited to be sent, and no further attempt is possible.
     GivenUp,
-    /// It names a class or a plan that there is not.
+    /// Its class or plan does not exist.
     Unknown,
 }
 
 impl RefusalReason {
-    /// All of them, in the order of their discriminants.
-    pub const ALL: [Self; 6] =
-        [Self::OverQuota, Self::Blind, Self::Pressed, Self::NoBackend, Self::GivenUp, Self::Unknown];
-
-    /// Its name in logs and metrics.
+    /// All reasons, in the order of their discriminants.
+    pub const ALL: [Self; 6] = [
+        Self::OverQuota,
+        Self::NoFreshTotal,
+        Self::Overloaded,
+        Self::NoBackend,
+        Self::GivenUp,
+        Self::Unknown,
+    ];
+
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::OverQuota => "over_quota",
-            Self::Blind => "blind",
-            Self::Pressed => "pressed",
+            Self::NoFreshTotal => "blind",
+            Self::Overloaded => "pressed",
             Self::NoBackend => "no_backend",
             Self::GivenUp => "given_up",
             Self::Unknown => "unknown",
@@ -700,86 +711,87 @@
     }
 }
 
-/// What to do.
+/// An output of the decision module, for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Launch an attempt.
+    /// Send an attempt.
     Send {
-        /// Request.
+        /// The request.
         id: RequestId,
-        /// Backend.
+        /// The backend.
         backend: BackendId,
-        /// Time-out; `None`: until the client quits.
+        /// The time-out of the attempt; `None` to wait for as long as the client does.
         timeout: Option<Micros>,
-        /// It may not begin from then on; `None`: it may for as long as its client waits.
+        /// The attempt may not begin at this time or later, on the event clock; `None` for no limit but the
+        /// client's deadline.
         begin_by: Option<Micros>,
-        /// Why it is sent.
-        why: SendReason,
+        /// Why the attempt is sent.
+        reason: SendReason,
     },
-    /// Final answer: refused; trying again is harmless.
+    /// Give the final answer "refused": the request did not run or may run again.
     Refuse {
-        /// Request.
+        /// The request.
         id: RequestId,
-        /// Advised wait; 0: none.
-        wait: Micros,
-        /// Why.
-        why: RefusalReason,
+        /// How long the client is told to wait; 0 for no advice.
+        retry_after: Micros,
+        /// Why the request is refused.
+        reason: RefusalReason,
     },
-    /// Final answer: failed; no promise.
+    /// Give the final answer "failed": the request may have run.
     Fail {
-        /// Request.
+        /// The request.
         id: RequestId,
     },
-    /// Quit waiting on one attempt.
+    /// Cancel an attempt.
     Cancel {
-        /// Request.
+        /// The request.
         id: RequestId,
-        /// Attempt.
-        attempt: AttemptIx,
+        /// The attempt.
+        attempt: AttemptIndex,
     },
-    /// Ask for [`Event::Timer`].
+    /// Deliver an [`Event::Timer`] later.
     SetTimer {
-        /// Token that comes back.
+        /// The token to deliver.
         token: TimerToken,
-        /// From now.
+        /// The delay from now.
         after: Micros,
     },
     /// Probe a backend.
     Probe {
-        /// Backend.
+        /// The backend.
         backend: BackendId,
     },
-    /// Shut idle connections to a backend.
+    /// Close the idle connections to a backend.
     CloseIdle {
-        /// Backend.
+        /// The backend.
         backend: BackendId,
     },
-    /// Send a message to a sibling, or to all.
-    Tell {
-        /// Receiver; `None`: every sibling.
-        to: Option<GatewayIx>,
-        /// At most 256 bytes.
+    /// Send a message to another gateway, or to all others.
+    SendMessage {
+        /// The receiver; `None` for all other gateways.
+        to: Option<GatewayIndex>,
+        /// The bytes of the message, at most 256.
         payload: Vec<u8>,
     },
     /// Write a line to the log.
     Log {
-        /// Text.
+        /// The line.
         line: String,
     },
-    /// Follow the list of backends, or stop.
+    /// Subscribe to the list of backends, or end the subscription.
     Subscribe {
-        /// On or off.
+        /// True to subscribe.
         on: bool,
     },
-    /// Ask for the whole list once.
+    /// Request the complete list of backends once.
     FetchList,
-    /// Add to a number on the counter and get its total.
-    Count {
-        /// Its name.
-        name: CountName,
-        /// Amount; 0 only reads, below 0 takes off.
+    /// Add to a number on the counter and read its total.
+    CallCounter {
+        /// The key of the number.
+        key: CounterKey,
+        /// The units to add; 0 to only read the total, negative to subtract.
         amount: f64,
-        /// How long a new name is kept.
-        keep: Micros,
+        /// How long the counter keeps a key that is new to it.
+        lifetime: Micros,
     },
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -77,9 +77,10 @@
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway without backends or customers. `seed` seeds its random choices. Fails on an invalid
+    /// setting.
     pub fn new(cfg: Config, seed: u64) -> Result<Self, ConfigError> {
-        cfg.check()?;
+        cfg.validate()?;
         let (rng, classes) = (Random(mix(seed) | 1), cfg.classes.len());
         let (over_seen, retry_tokens) = (vec![FIRST_ODDS; cfg.plans.len()], 1.0);
         let pace = (CALLS_MAX / cfg.gateways as f64).clamp(0.3, 1.0);
@@ -95,8 +96,8 @@
         })
     }
 
-    /// Takes one event and appends what is to be done about it. `now` never goes back.
-    pub fn handle(&mut self, now: Micros, event: Event, acts: &mut Vec<Action>) {
+    /// Handles an event at the time `now`, which must not go back, and appends the resulting actions.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.born.is_none() {
             (self.born, self.done_at, self.asked_at) = (Some(now), now, now);
@@ -109,18 +110,18 @@
             Event::Backends { kind, rows, .. } => self.on_list(kind, rows),
             Event::Request(a) => self.on_request(a),
             // A begun stream is the client's: other copies only waste work.
-            Event::Flowing { id, attempt, .. } => {
+            Event::StreamStarted { id, attempt, .. } => {
                 self.requests.entry(id).and_modify(|r| r.streaming = true);
                 self.call_off(id, Some(attempt));
             }
             Event::AttemptEnded(e) => self.on_attempt(e),
             Event::Uploaded { id, deadline } => self.on_uploaded(id, deadline),
             Event::ClientGone { id } => self.close(id),
-            Event::Barred { backend, out } => self.on_barred(backend, out),
+            Event::BackendDisabled { backend, disabled: out } => self.on_barred(backend, out),
             Event::Drain { on } => self.draining = on,
-            Event::Inherited(legacy) => self.on_inherited(*legacy),
-            Event::Spent(all) => all.into_iter().for_each(|s| self.on_spent(s)),
-            Event::Paired { on } => self.paired = on,
+            Event::HandoverReceived(legacy) => self.on_inherited(*legacy),
+            Event::UnsyncedUnits(all) => all.into_iter().for_each(|s| self.on_spent(s)),
+            Event::OtherProcess { serving: on } => self.paired = on,
             Event::Timer { token } => match self.timers.remove(&token.0) {
                 Some(Task::Beat) => self.beat(),
                 Some(Task::Deadlines) => self.on_deadlines(token),
@@ -133,7 +134,7 @@
                 match self.backends.get_mut(&backend) {
                     Some(b) if outcome == Outcome::Ok => b.readmit(self.now),
                     // Never sent: no news of the backend, which is asked again.
-                    Some(Backend { health, .. }) if outcome == Outcome::Moot => {
+                    Some(Backend { health, .. }) if outcome == Outcome::NotSent => {
                         if let Health::Trial { wait, dead } = *health {
                             *health = Health::Ejected { until: self.now + wait as Micros, wait, dead };
                         }
@@ -143,11 +144,15 @@
                 }
             }
             Event::Message { .. } => {}
-            Event::Counted { name, result, elapsed } => self.on_counted(name, result, elapsed as f64),
-            Event::CountedLate { name, amount, result } => self.on_counted_late(name, amount, result),
+            Event::CounterCallEnded { key: name, result, elapsed } => {
+                self.on_counted(name, result, elapsed as f64)
+            }
+            Event::OverdueCallEnded { key: name, amount, result } => {
+                self.on_counted_late(name, amount, result)
+            }
         }
         self.pump_syncs();
-        acts.append(&mut self.acts);
+        actions.append(&mut self.acts);
     }
 
     // ---------------------------------------------------------------- quota
@@ -169,10 +174,10 @@
         (x as u64, x.fract())
     }
 
-    fn name(&self, id: CustomerId, plan: usize, window: u64) -> CountName {
+    fn name(&self, id: CustomerId, plan: usize, window: u64) -> CounterKey {
         // Plans whose windows are as long number them alike.
         let alike = (0..plan).filter(|p| self.window(*p) == self.window(plan)).count();
-        CountName(mix(mix(id.under(plan).under(alike).0).wrapping_add(window)))
+        CounterKey(mix(mix(id.under(plan).under(alike).0).wrapping_add(window)))
     }
 
     /// Brings a customer's windows and store up to now; returns the part of the window passed.
@@ -187,7 +192,7 @@
         let gained = self.cfg.plans[plan].rate * self.now.saturating_sub(c.store_at) as f64 / SECOND;
         (c.store, c.store_at) = ((c.store + gained).min(limit), self.now);
         let part = c.part();
-        c.slice = (c.slice + gained * part).min((limit * part).max(self.cfg.units_top.max(1.0)));
+        c.slice = (c.slice + gained * part).min((limit * part).max(self.cfg.max_units.max(1.0)));
         if window != c.window {
             if c.cur.told_at.is_some() && c.cur.all() > 0.0 {
                 c.share += ((c.cur.own() / c.cur.all()).clamp(0.0, 1.0) - c.share) * 0.5;
@@ -225,7 +230,7 @@
         let (p, even) = (&self.cfg.plans[c.plan], 1.0 / c.spread);
         // Two processes of this gateway go by the same total: each spends half of the part.
         let share = c.part() * if self.paired { 0.5 } else { 1.0 };
-        if p.at_once > 0 && c.out as f64 >= (p.at_once as f64 * share).max(1.0).floor() {
+        if p.max_concurrent > 0 && c.out as f64 >= (p.max_concurrent as f64 * share).max(1.0).floor() {
             return Verdict::Over(RefusalReason::OverQuota, 0);
         }
         if p.rate <= 0.0 {
@@ -256,7 +261,7 @@
         if self.blind(id, units) {
             Verdict::Pass(!self.counter_well() || batches, self.odds(&self.customers[&id]))
         } else {
-            over(RefusalReason::Blind, units)
+            over(RefusalReason::NoFreshTotal, units)
         }
     }
 
@@ -389,20 +394,20 @@
             let (name, window) = names[i];
             self.names.insert(name, (id, window));
             self.calls_out += 1.0;
-            self.acts.push(Action::Count { name, amount: t.in_call, keep });
+            self.acts.push(Action::CallCounter { key: name, amount: t.in_call, lifetime: keep });
         }
     }
 
-    fn on_counted(&mut self, name: CountName, result: Reckoned, elapsed: f64) {
-        if result != Reckoned::Overdue {
+    fn on_counted(&mut self, name: CounterKey, result: CounterResult, elapsed: f64) {
+        if result != CounterResult::Overdue {
             self.calls_out = (self.calls_out - 1.0).max(0.0);
         }
-        let answered = matches!(result, Reckoned::Total(v) if v.is_finite());
+        let answered = matches!(result, CounterResult::Total(v) if v.is_finite());
         let timeout = self.cfg.counter.map_or(SECOND, |c| c.timeout as f64);
         // Danger: an answer that came in time and can't be read tells nothing of how much is asked.
         // One call alone that is overdue while later ones are answered hangs on its own connection.
-        let alone = result == Reckoned::Overdue && self.since(self.heard_at) < timeout / 2.0;
-        let crowded = result == Reckoned::NotAdded || elapsed > timeout * LATE && !alone;
+        let alone = result == CounterResult::Overdue && self.since(self.heard_at) < timeout / 2.0;
+        let crowded = result == CounterResult::NotAdded || elapsed > timeout * LATE && !alone;
         if answered && !crowded {
             self.heard_at = self.now;
         }
@@ -423,7 +428,7 @@
             let step = if self.calls_most < self.calls_safe { 1.0 } else { 1.0 / self.calls_most };
             self.calls_most = (self.calls_most + step).min(CALLS_MAX);
         }
-        if result != Reckoned::Overdue {
+        if result != CounterResult::Overdue {
             self.note_call(!answered);
         }
         // Danger: a burst whose calls all fail together is one failure, not a dead counter.
@@ -442,7 +447,7 @@
         let amount = std::mem::take(&mut t.in_call);
         t.calling = false;
         match result {
-            Reckoned::Total(total) if answered => {
+            CounterResult::Total(total) if answered => {
                 t.added += amount;
                 // Danger: a name forgotten by the counter, or an add that never reached it, would grant
                 // afresh what was used. A total short of what was added here puts that back, once.
@@ -454,13 +459,13 @@
                 c.take_total(window, told, self.now);
             }
             // It may have been added: counted as if it was, until a total tells otherwise.
-            Reckoned::Unanswered | Reckoned::Overdue => {
+            CounterResult::Unanswered | CounterResult::Overdue => {
                 (t.added, t.total) = (t.added + amount, t.total + amount);
             }
             _ => t.unsent += amount,
         }
         let calling = c.cur.calling || c.prev.calling;
-        if result == Reckoned::Overdue {
+        if result == CounterResult::Overdue {
             // Danger: a crowded counter's late total still settles it; decided without, its call was in vain.
             self.set_timer(timeout as Micros, Task::Overdue(id));
         } else if !calling {
@@ -483,9 +488,10 @@
 
     /// What became of an overdue call: its total is as true as one in time, and one turned away has not been
     /// added after all.
-    fn on_counted_late(&mut self, name: CountName, amount: f64, result: Reckoned) {
+    fn on_counted_late(&mut self, name: CounterKey, amount: f64, result: CounterResult) {
         self.calls_out = (self.calls_out - 1.0).max(0.0);
-        let total = if let Reckoned::Total(v) = result { Some(v).filter(|v| v.is_finite()) } else { None };
+        let total =
+            if let CounterResult::Total(v) = result { Some(v).filter(|v| v.is_finite()) } else { None };
         self.note_call(total.is_none());
         let Some(&(id, window)) = self.names.get(&name) else { return };
         self.roll(id);
@@ -498,7 +504,7 @@
             // A later call's units may still be on their way: what is believed to be there counts.
             let total = total.max(t.added);
             c.take_total(window, total, now);
-        } else if result == Reckoned::NotAdded {
+        } else if result == CounterResult::NotAdded {
             let back = amount.min(t.added);
             (t.added, t.total, t.unsent) = (t.added - back, t.total - back, t.unsent + back);
             self.schedule(id, SYNC * 0.5);
@@ -515,7 +521,7 @@
     }
 
     /// Takes over what another process of this gateway knows. What can't be is passed over.
-    fn on_inherited(&mut self, legacy: Legacy) {
+    fn on_inherited(&mut self, legacy: HandoverState) {
         let (legacy, gateways) = (legacy.fitting(&self.cfg), self.cfg.gateways as f64);
         for (id, mut c) in legacy.customers.into_iter().filter(|(_, c)| c.window <= self.now) {
             (c.spread, c.share) = (c.spread.clamp(1.0, gateways), c.share.clamp(0.0, 1.0));
@@ -539,7 +545,7 @@
 
     /// Tells the counter of what another process of this gateway has spent and can not tell any more. Danger:
     /// it may have met customers since it told this one of those that it knew.
-    fn on_spent(&mut self, spent: Spent) {
+    fn on_spent(&mut self, spent: UnsyncedUnits) {
         let plan = self.cfg.plans.iter().position(|p| p.name == spent.plan);
         let Some(plan) = plan.filter(|_| spent.units.is_finite()) else { return };
         let id = spent.customer.under(plan);
@@ -587,7 +593,7 @@
                 est += h.counted + h.later;
             } else {
                 c.cur.unsent -= h.counted;
-                let seen = if told { RefusalReason::OverQuota } else { RefusalReason::Blind };
+                let seen = if told { RefusalReason::OverQuota } else { RefusalReason::NoFreshTotal };
                 let why = if room { RefusalReason::NoBackend } else { seen };
                 let wait = (est + h.units - limit).max(h.units) / limit * window;
                 self.turn_away(h.id, why, wait as Micros);
@@ -598,12 +604,12 @@
     fn on_request(&mut self, a: Arrival) {
         let (id, class, plan, now) = (a.id, a.class.0 as usize, a.plan.0 as usize, self.now);
         if class >= self.cfg.classes.len() || plan >= self.cfg.plans.len() {
-            self.acts.push(Action::Refuse { id, wait: 0, why: RefusalReason::Unknown });
+            self.acts.push(Action::Refuse { id, retry_after: 0, reason: RefusalReason::Unknown });
             return;
         }
         // Units that are no number must not be granted without bound.
-        let units = if a.units.is_finite() && a.units > 0.0 { a.units } else { self.cfg.units_top.max(1.0) };
-        let (spread, deadline, coming) = (self.bounded_spread(a.spread), a.deadline, a.coming);
+        let units = if a.units.is_finite() && a.units > 0.0 { a.units } else { self.cfg.max_units.max(1.0) };
+        let (spread, deadline, coming) = (self.bounded_spread(a.spread), a.deadline, a.body_pending);
         // Danger: kept for the customer alone, what one plan grants or refuses would be another's.
         let cid = a.customer.under(plan);
         let r = Request { class, customer: cid, deadline, units, coming, ..Request::default() };
@@ -629,7 +635,7 @@
         };
         if !matches!(verdict, Verdict::Over(..)) && !self.can_serve(id, odds) {
             // Clients told nothing come back at once: they are told what the queue takes.
-            return self.turn_away(id, RefusalReason::Pressed, self.expected() as Micros);
+            return self.turn_away(id, RefusalReason::Overloaded, self.expected() as Micros);
         }
         match verdict {
             Verdict::Pass(counts, _) if self.launch(id) => self.charge(cid, units, counts),
@@ -661,7 +667,7 @@
             let at = fields.iter().take(load.len as usize).position(|&x| x == f)?;
             Some(load.values[at] as f64).filter(|v| v.is_finite() && *v >= 0.0)
         };
-        let (rps, ms) = (value(LoadField::ServedPerS), value(LoadField::ServiceMs));
+        let (rps, ms) = (value(LoadField::ServedPerSecond), value(LoadField::ServiceTimeMs));
         let busy = rps.zip(ms).map_or(0.0, |(r, m)| r * m / 1e3);
         let held = value(LoadField::Active).or(value(LoadField::Waiting).map(|q| q + busy));
         if let (Some(held), Some(b)) = (held, self.backends.get_mut(&id)) {
@@ -680,7 +686,7 @@
         let guessed = b.guessed.filter(|at| self.since(*at) < GUESSED);
         let Some(at) = b.started.max(guessed) else { return 1.0 };
         let warm = self.cfg.warm_up.max(1) as f64;
-        let from = self.cfg.cold_from.clamp(0.0, 1.0);
+        let from = self.cfg.cold_capacity.clamp(0.0, 1.0);
         (from + (1.0 - from) * self.since(at) / warm).min(1.0)
     }
 
@@ -746,9 +752,10 @@
         }
         let rank = worth / (worth + self.worth_mean);
         // A patient class's queue makes the others' work late: it is bounded halfway to the shortest aim.
-        let least = self.cfg.classes.iter().map(|c| c.aim).min().unwrap_or(0);
+        let least = self.cfg.classes.iter().map(|c| c.target_latency).min().unwrap_or(0);
         // Danger: a client that gives up sooner than the aim makes waste of work sent on too late for it.
-        let aim = ((self.cfg.classes[class].aim + least) / 2).min(r.deadline.saturating_sub(self.now));
+        let aim =
+            ((self.cfg.classes[class].target_latency + least) / 2).min(r.deadline.saturating_sub(self.now));
         let within = aim as f64 * (PRESS.0 + (PRESS.1 - PRESS.0) * rank);
         // Held too long, servers do less: the queue is kept to a few times what idle ones take.
         let idle = if self.mix_base > 0.0 { self.mix_base } else { SECOND };
@@ -794,7 +801,7 @@
     fn density(&self, class: usize) -> f64 {
         let c = &self.cfg.classes[class];
         let base = self.class_base[class];
-        c.worth / if base > 0.0 { base } else { c.aim as f64 / 4.0 }
+        c.worth / if base > 0.0 { base } else { c.target_latency as f64 / 4.0 }
     }
 
     // ---------------------------------------------------------------- health
@@ -806,17 +813,17 @@
             self.backends.values_mut().for_each(|b| b.listed = false);
         }
         for row in rows {
-            let fresh = row.started > 0 && self.since(row.started) < self.cfg.warm_up as f64;
+            let fresh = row.started_at > 0 && self.since(row.started_at) < self.cfg.warm_up as f64;
             let turn = self.place(&row);
             let new = || Backend { row, turn, slow: 1.0, seen_at: now, ..Backend::default() };
             let b = self.backends.entry(row.backend).or_insert_with(new);
-            if row.started != b.row.started {
+            if row.started_at != b.row.started_at {
                 // A new process: what was known of the old one says nothing.
                 (b.health, b.slow, b.fails, b.errors, b.others) = (Health::Well, 1.0, 0, 0.0, None);
                 b.started = b.started.filter(|_| !fresh);
             }
             (b.row, b.listed) = (row, row.state != BackendState::Gone);
-            b.started = if fresh { b.started.max(Some(row.started)) } else { b.started };
+            b.started = if fresh { b.started.max(Some(row.started_at)) } else { b.started };
         }
     }
 
@@ -828,7 +835,7 @@
         } else if let (Some(since), Some(b)) = (self.barred.remove(&backend), self.backends.get_mut(&backend))
         {
             (b.health, b.slow, b.fails, b.errors, b.breaks) = (Health::Well, 1.0, 0, 0.0, 0.0);
-            b.started = if b.row.started >= since { b.started } else { Some(self.now) };
+            b.started = if b.row.started_at >= since { b.started } else { Some(self.now) };
         }
     }
 
@@ -882,7 +889,7 @@
                 false => b.readmit(now),
             }
         }
-        if let Discovery::OnRequest { ask_every } = self.cfg.discovery {
+        if let Discovery::OnRequest { ask_interval: ask_every } = self.cfg.discovery {
             // Danger: a fleet that asks for whole lists beside what it is told keeps discovery from telling.
             let wait = ask_every as f64 / 3.0 * (0.5 + self.lot(now / SECOND as u64));
             if self.ask_failed && self.since(self.asked_at) > wait {
@@ -930,18 +937,18 @@
             b.out += 1;
             b.turn = if b.turn >= 1.0 { 0.0 } else { b.turn };
             b.lost += u32::from(coming);
-            note(&mut b.sent, now, self.cfg.fall_after);
+            note(&mut b.sent, now, self.cfg.collapse_after);
         }
         self.out += 1;
         self.sent_count += 1.0;
         let (begin_by, why) = (self.repeat_window_end(id), self.send_reason(id));
         let Some(r) = self.requests.get_mut(&id) else { return false };
         r.attempts.push(Attempt { backend, sent: now, outcome: None, lost: coming });
-        self.acts.push(Action::Send { id, backend, timeout: None, begin_by, why });
+        self.acts.push(Action::Send { id, backend, timeout: None, begin_by, reason: why });
         if first {
             self.retry_tokens = (self.retry_tokens + RETRY_PART).min(1.0 / RETRY_PART);
-            if self.cfg.second_copies {
-                let aim = self.cfg.classes[class].aim as f64;
+            if self.cfg.hedging {
+                let aim = self.cfg.classes[class].target_latency as f64;
                 let after = (3.0 * self.class_lat[class]).clamp(aim * HEDGE.0, aim * HEDGE.1);
                 self.set_timer(after as Micros, Task::Hedge(id));
             }
@@ -953,13 +960,13 @@
     fn on_hedge(&mut self, id: RequestId) {
         let Some(r) = self.requests.get(&id) else { return };
         let waits = !r.over && !r.streaming && r.attempts.len() == 1;
-        let pressed = self.expected() > self.cfg.classes[r.class].aim as f64 * PRESS.0 * HEDGE.1;
+        let pressed = self.expected() > self.cfg.classes[r.class].target_latency as f64 * PRESS.0 * HEDGE.1;
         if waits && self.retry_tokens >= 1.0 && !pressed && self.launch(id) {
             self.retry_tokens -= 1.0;
         }
     }
 
-    fn on_attempt(&mut self, e: Ended) {
+    fn on_attempt(&mut self, e: AttemptResult) {
         self.note_load(e.backend, e.load);
         let (id, outcome) = (e.id, e.outcome);
         let Some(r) = self.requests.get_mut(&id) else { return };
@@ -977,14 +984,14 @@
         if let Some(c) = self.customers.get_mut(&cid) {
             c.out = c.out.saturating_sub(1);
             // Settled costs: the first good answer tells the true units.
-            let settles = self.cfg.cost_after && outcome == Outcome::Ok && !r.over;
-            let fix = e.billed.filter(|_| settles).map_or(0.0, |b| b - units);
+            let settles = self.cfg.billed_on_response && outcome == Outcome::Ok && !r.over;
+            let fix = e.billed_units.filter(|_| settles).map_or(0.0, |b| b - units);
             // Danger: where calls are short, one for each correction took most of them: these go along.
             *if self.pace < 1.0 { &mut c.cur.fix } else { &mut c.cur.unsent } += fix;
         }
-        r.over |= e.settled;
-        r.spent |= e.spent;
-        let metered = e.fleet_use.filter(|used| used.is_finite() && self.cfg.meter_period > 0);
+        r.over |= e.request_done;
+        r.spent |= e.body_consumed;
+        let metered = e.quota_use.filter(|used| used.is_finite() && self.cfg.meter_period > 0);
         metered.inspect(|&used| self.note_use(cid, used, None));
         // That one lost on the way was waited for in vain tells nothing of its backend, nor of a queue.
         let news = if lost && outcome == Outcome::Timeout { Outcome::Cancelled } else { outcome };
@@ -996,7 +1003,7 @@
         let idle = r.attempts.iter().all(|a| a.outcome.is_some());
         let never_ran = matches!(outcome, Outcome::Full | Outcome::ConnectFailed);
         let time_left = r.deadline.saturating_sub(self.now) as f64 > self.class_base[class];
-        let again = time_left && outcome != Outcome::Moot && (never_ran || self.retry_tokens >= 1.0);
+        let again = time_left && outcome != Outcome::NotSent && (never_ran || self.retry_tokens >= 1.0);
         match idle {
             true if again && self.launch(id) => self.retry_tokens = (self.retry_tokens - 1.0).max(0.0),
             true => self.give_up(id),
@@ -1024,7 +1031,7 @@
         match outcome {
             Outcome::Ok => {
                 (b.fails, b.spared) = (0, b.spared / 2.0);
-                note(&mut b.served, now, self.cfg.fall_after);
+                note(&mut b.served, now, self.cfg.collapse_after);
                 b.full.retain(|k, _| !kinds.contains(k));
                 let (lat, base) = (&mut self.class_lat[class], &mut self.class_base[class]);
                 let seen = &mut self.class_seen[class];
@@ -1074,7 +1081,7 @@
             }
             // Danger: a `full` may concern one class or plan though there is room: kept for each apart.
             Outcome::Full => b.full.extend(kinds.map(|k| (k, now))),
-            Outcome::Error | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::Error | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -1094,8 +1101,8 @@
     }
 
     fn refuse(&mut self, id: RequestId, why: RefusalReason, wait: Micros) {
-        let wait = if self.cfg.retry_advice { wait.min(self.cfg.max_advice) } else { 0 };
-        self.answer(id, Action::Refuse { id, wait, why });
+        let wait = if self.cfg.send_retry_after { wait.min(self.cfg.max_retry_after) } else { 0 };
+        self.answer(id, Action::Refuse { id, retry_after: wait, reason: why });
     }
 
     fn answer(&mut self, id: RequestId, action: Action) {
@@ -1150,9 +1157,9 @@
     }
 
     /// Calls off what is still out for a request, but for an attempt to keep.
-    fn call_off(&mut self, id: RequestId, keep: Option<AttemptIx>) {
+    fn call_off(&mut self, id: RequestId, keep: Option<AttemptIndex>) {
         let Some(r) = self.requests.get(&id).filter(|_| self.cfg.may_cancel) else { return };
-        let out = (0..).zip(&r.attempts).filter(|(_, a)| a.outcome.is_none()).map(|(i, _)| AttemptIx(i));
+        let out = (0..).zip(&r.attempts).filter(|(_, a)| a.outcome.is_none()).map(|(i, _)| AttemptIndex(i));
         let calls = out.filter(|i| Some(*i) != keep).map(|attempt| Action::Cancel { id, attempt });
         self.acts.extend(calls);
     }
@@ -1181,16 +1188,16 @@
         if budget < 1.0 {
             return b.turn >= 1.0 && b.out == 0;
         }
-        let budget = self.turns(budget, self.cfg.fall_after as f64, b.row.key());
+        let budget = self.turns(budget, self.cfg.collapse_after as f64, b.row.key());
         self.lately(&b.sent).max(b.out as f64) < budget
     }
 
     /// What this gateway may send within a fall span to a cold backend of its subset; others are not.
     fn slow_start_budget(&self, b: &Backend, usable: f64) -> f64 {
-        let (span, keep) = (self.cfg.fall_after as f64, (SUBSET / usable).min(1.0));
+        let (span, keep) = (self.cfg.collapse_after as f64, (SUBSET / usable).min(1.0));
         let usual = self.usual.max(self.done_rate / usable * span / SECOND);
         let in_subset = f64::from(u8::from(self.lot(b.row.key()) < keep));
-        SLOW_START_PART * self.cfg.fall_multiple * self.warmth(b) * usual * in_subset / keep
+        SLOW_START_PART * self.cfg.collapse_multiple * self.warmth(b) * usual * in_subset / keep
     }
 
     /// Lets turns at cold backends come nearer. Danger: a lot drawn anew for each span went to gateways that
@@ -1202,7 +1209,7 @@
         // moment in which it came back cold.
         let turn = |b: &Backend| {
             let budget = cold(b).then(|| self.slow_start_budget(b, usable)).filter(|all| *all < 1.0);
-            let near = budget.map(|all| (b.turn + all * passed / self.cfg.fall_after as f64).min(1.0));
+            let near = budget.map(|all| (b.turn + all * passed / self.cfg.collapse_after as f64).min(1.0));
             near.unwrap_or_else(|| self.place(&b.row))
         };
         let turns: Vec<_> = self.backends.values().map(turn).collect();
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -6,7 +6,7 @@
 impl Gateway {
     /// Whether a backend may have begun to work on it.
     pub(crate) fn possibly_ran(a: &Attempt) -> bool {
-        !matches!(a.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::Moot))
+        !matches!(a.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
     }
 
     /// Rules 2 and 3: whether an attempt of this request may go to this backend now.
@@ -15,7 +15,7 @@
         let most = self.cfg.max_attempts as usize;
         let spent = r.spent || r.attempts.len() >= most || self.now >= r.deadline;
         let out = r.attempts.iter().any(|a| a.outcome.is_none());
-        if r.over || r.streaming || spent || (out && !self.cfg.second_copies) {
+        if r.over || r.streaming || spent || (out && !self.cfg.hedging) {
             return false;
         }
         let Some(ran) = r.attempts.iter().find(|a| Self::possibly_ran(a)) else { return true };
--- a/src/state.rs
+++ b/src/state.rs
@@ -2,8 +2,8 @@
 
 use crate::api::*;
 pub(crate) use crate::random::{mix, unit, Random};
-pub(crate) use crate::succession::Legacy;
-pub(crate) use crate::vitals::Refusals;
+pub(crate) use crate::succession::HandoverState;
+pub(crate) use crate::vitals::RefusalCounts;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -163,7 +163,7 @@
     Overdue(CustomerId),
 }
 
-/// The decisions of one gateway. The default one has no classes and refuses all.
+/// The decision module of one gateway. The default value has no classes and refuses every request.
 #[derive(Default)]
 pub struct Gateway {
     pub(crate) cfg: Config,
@@ -174,7 +174,7 @@
     pub(crate) timers: BTreeMap<u64, Task>,
     pub(crate) next_timer: u64,
     pub(crate) customers: BTreeMap<CustomerId, Customer>,
-    pub(crate) names: BTreeMap<CountName, (CustomerId, u64)>,
+    pub(crate) names: BTreeMap<CounterKey, (CustomerId, u64)>,
     pub(crate) sync_queue: BTreeSet<(Micros, CustomerId)>,
     /// Calls that the counter has or may have in its line, also those given up: an overdue one is out until
     /// its end is known.
@@ -234,7 +234,7 @@
     pub(crate) mix_lat: f64,
     pub(crate) asked_at: Micros,
     pub(crate) ask_failed: bool,
-    pub(crate) refusals: Refusals,
+    pub(crate) refusals: RefusalCounts,
 }
 
 pub(crate) enum Verdict {
@@ -375,7 +375,7 @@
         self.out.saturating_sub(self.lost) as f64
     }
 
-    /// Whether clients are to be sent away.
+    /// Returns whether an operator drains this gateway.
     pub fn draining(&self) -> bool {
         self.draining
     }
@@ -409,12 +409,12 @@
 
     /// This gateway's lot in 0..1 in a matter.
     pub(crate) fn lot(&self, of: u64) -> f64 {
-        unit(mix(mix(u64::from(self.cfg.me.0)) ^ of))
+        unit(mix(mix(u64::from(self.cfg.own_index.0)) ^ of))
     }
 
     /// How many of these were within the fall span.
     pub(crate) fn lately(&self, times: &VecDeque<Micros>) -> f64 {
-        times.iter().filter(|&&t| self.since(t) <= self.cfg.fall_after as f64).count() as f64
+        times.iter().filter(|&&t| self.since(t) <= self.cfg.collapse_after as f64).count() as f64
     }
 
     /// How near its first turn at a backend that becomes cold is: anywhere, as all gateways learn of a start
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -5,9 +5,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What a process of this gateway leaves to the next one: plain figures, on the clock that both go by.
+/// The state that a process of this gateway hands over to its successor. Times are on the event clock, which
+/// both processes share.
 #[derive(Default, Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Legacy {
+pub struct HandoverState {
     /// The names of the plans and classes that its figures mean.
     #[serde(default)]
     pub(crate) names: [Vec<String>; 2],
@@ -18,7 +19,7 @@
     pub(crate) mix: [f64; 2],
 }
 
-impl Legacy {
+impl HandoverState {
     /// What of it holds under these settings. Danger: plans and classes are told by their places; where these
     /// mean others, a customer would come under another one's plan.
     pub(crate) fn fitting(mut self, cfg: &Config) -> Self {
@@ -57,8 +58,9 @@
 }
 
 impl Gateway {
-    /// What the next process of this gateway is to know.
-    pub fn legacy(&self) -> Legacy {
+    /// Returns the state to hand over to the next process of this gateway. Units that are not on the counter
+    /// yet are included as if they were, as this process still adds them.
+    pub fn handover_state(&self) -> HandoverState {
         let heir = |c: &Customer| {
             let mut c = Customer { pending: Vec::new(), sync_at: None, out: 0, ..c.clone() };
             for t in [&mut c.cur, &mut c.prev] {
@@ -72,7 +74,7 @@
         };
         let cold = |b: &Backend| Cold { started: b.started, guessed: b.guessed, sent: b.sent.clone() };
         let classes = self.class_lat.iter().zip(&self.class_base).zip(&self.class_seen);
-        Legacy {
+        HandoverState {
             names: self.cfg.names(),
             customers: self.customers.iter().map(|(id, c)| (*id, heir(c))).collect(),
             backends: self.backends.iter().filter(|(_, b)| b.listed).map(|(id, b)| (*id, cold(b))).collect(),
@@ -81,35 +83,36 @@
         }
     }
 
-    /// Takes out what this process has spent and not told the counter, for another one to tell it.
-    pub fn spent(&mut self) -> Vec<Spent> {
+    /// Removes and returns the units that this process has not sent to the counter, for another process to
+    /// add.
+    pub fn take_unsynced_units(&mut self) -> Vec<UnsyncedUnits> {
         let mut all = Vec::new();
         for (id, c) in &mut self.customers {
             for (t, window) in [(&mut c.cur, c.window), (&mut c.prev, c.window.wrapping_sub(1))] {
                 let units = std::mem::take(&mut t.unsent) + std::mem::take(&mut t.fix);
                 if units != 0.0 {
                     let (customer, plan) = (id.under(c.plan), self.cfg.plans[c.plan].name.clone());
-                    all.push(Spent { customer, plan, spread: c.spread, window, units });
+                    all.push(UnsyncedUnits { customer, plan, spread: c.spread, window, units });
                 }
             }
         }
         all
     }
 
-    /// Whether units are known here that the counter has not been told of.
-    pub fn has_unsent(&self) -> bool {
+    /// Returns whether there are units that have not been sent to the counter.
+    pub fn has_unsynced_units(&self) -> bool {
         self.customers.values().any(Customer::has_unsent)
     }
 
-    /// Makes all syncs with unsent units due, as this process ends; appends those that the counter is seen to bear
-    /// now. To be called until none is left.
-    pub fn flush(&mut self, now: Micros, acts: &mut Vec<Action>) {
+    /// Makes all syncs with unsent units due, for a process that ends, and appends as many counter calls as
+    /// the counter can bear now. The caller repeats this until no unsent units are left.
+    pub fn flush(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         let unsent = self.customers.iter().filter(|(_, c)| c.has_unsent());
         let unsent: Vec<CustomerId> = unsent.map(|(id, _)| *id).collect();
         unsent.into_iter().for_each(|id| self.schedule(id, 0.0));
         self.pump_syncs();
-        acts.append(&mut self.acts);
+        actions.append(&mut self.acts);
     }
 
     /// Takes over what answers take, by class and over all.
--- a/src/vitals.rs
+++ b/src/vitals.rs
@@ -1,88 +1,93 @@
-//! What the decisions go by, for the log and the operators.
+//! Diagnostics of a gateway, for the log and the metrics.
 
 use crate::api::RefusalReason;
 use crate::state::{Gateway, Health};
 
-/// Refusals by their reason, since the start.
+/// Counts of refusals by reason since the process started.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusals {
-    /// The customer's estimate was over its quota.
-    pub over: u64,
-    /// No fresh total to go by, and own use was over this gateway's part.
-    pub blind: u64,
-    /// The fleet was taken to be too busy.
-    pub pressed: u64,
-    /// No backend might be sent to.
-    pub nowhere: u64,
+pub struct RefusalCounts {
+    /// The customer's estimated use was over its quota.
+    pub over_quota: u64,
+    /// There was no fresh total from the counter, and the use seen here was over this gateway's share of the
+    /// quota.
+    pub no_fresh_total: u64,
+    /// The backends were estimated to be too busy.
+    pub overloaded: u64,
+    /// There was no backend that the request might be sent to.
+    pub no_backend: u64,
 }
 
-/// What the decisions go by at this moment, for the log.
+/// A snapshot of the state that decisions depend on.
 #[derive(Clone, Copy, Debug)]
-pub struct Vitals {
-    /// Refusals by their reason, since the start.
-    pub refusals: Refusals,
-    /// Time to completion as expected, and what it usually takes, microseconds.
-    pub expected: f64,
-    /// Mean latency of late where the fleet is idle.
-    pub idle: f64,
-    /// Attempts out.
-    pub out: u32,
-    /// Of these, attempts that got lost.
-    pub lost: u32,
-    /// Backends listed, and of these the ones that are not in use for their health.
-    pub listed: usize,
-    /// See `listed`.
-    pub ejected: usize,
-    /// Backends listed that get nothing new: out by hand, draining, or ejected for their health.
-    pub skipped: usize,
-    /// What is held: customers, names of counts, requests, timers, and backends listed or not.
+pub struct Diagnostics {
+    /// Counts of refusals by reason since the process started.
+    pub refusals: RefusalCounts,
+    /// The expected time to completion of a new request, in microseconds.
+    pub expected_latency_us: f64,
+    /// The mean latency over all classes when backends are idle, in microseconds; 0 before the first
+    /// response.
+    pub idle_latency_us: f64,
+    /// The number of attempts in flight.
+    pub in_flight: u32,
+    /// The number of attempts in flight that no backend seems to work on: later ones to the same backend have
+    /// been answered, or the body of the request is still being received.
+    pub stalled: u32,
+    /// The number of listed backends.
+    pub listed_backends: usize,
+    /// The number of listed backends that are ejected for their health or on trial.
+    pub ejected_backends: usize,
+    /// The number of listed backends that get no new requests: disabled by an operator, draining, ejected or
+    /// on trial.
+    pub skipped_backends: usize,
+    /// The number of customers held in memory, each plan of a customer counted apart.
     pub customers: usize,
-    /// See `customers`.
-    pub names: usize,
-    /// See `customers`.
+    /// The number of counter keys held in memory.
+    pub counter_keys: usize,
+    /// The number of requests held in memory, including those with a final answer and an attempt in flight.
     pub requests: usize,
-    /// See `customers`.
+    /// The number of timers set.
     pub timers: usize,
-    /// See `customers`.
-    pub backends: usize,
-    /// Pace of calls to the counter, and how many may be out.
-    pub pace: f64,
-    /// See `pace`.
-    pub calls_most: f64,
+    /// The number of backends held in memory, listed or not.
+    pub known_backends: usize,
+    /// The fraction of the wanted counter calls that the counter can bear, above 0 to 1.
+    pub call_pace: f64,
+    /// The number of counter calls that may be in flight at once.
+    pub max_calls: f64,
 }
 
-impl Refusals {
+impl RefusalCounts {
     pub(crate) fn count(&mut self, why: RefusalReason) {
         *match why {
-            RefusalReason::OverQuota => &mut self.over,
-            RefusalReason::Blind => &mut self.blind,
-            RefusalReason::Pressed => &mut self.pressed,
-            RefusalReason::NoBackend => &mut self.nowhere,
+            RefusalReason::OverQuota => &mut self.over_quota,
+            RefusalReason::NoFreshTotal => &mut self.no_fresh_total,
+            RefusalReason::Overloaded => &mut self.overloaded,
+            RefusalReason::NoBackend => &mut self.no_backend,
             RefusalReason::GivenUp | RefusalReason::Unknown => return,
         } += 1;
     }
 }
 
 impl Gateway {
-    /// What the decisions go by at this moment: for the log, which tells one cause of refusals from another.
-    pub fn vitals(&self) -> Vitals {
+    /// Returns a snapshot of the state that decisions depend on. The log shows it to tell the causes of
+    /// refusals apart.
+    pub fn diagnostics(&self) -> Diagnostics {
         let listed = self.backends.values().filter(|b| b.listed);
-        Vitals {
+        Diagnostics {
             refusals: self.refusals,
-            expected: self.expected(),
-            idle: self.mix_base,
-            out: self.out,
-            lost: self.lost,
-            listed: listed.clone().count(),
-            ejected: listed.clone().filter(|b| b.health != Health::Well).count(),
-            skipped: listed.filter(|b| !self.usable(b)).count(),
+            expected_latency_us: self.expected(),
+            idle_latency_us: self.mix_base,
+            in_flight: self.out,
+            stalled: self.lost,
+            listed_backends: listed.clone().count(),
+            ejected_backends: listed.clone().filter(|b| b.health != Health::Well).count(),
+            skipped_backends: listed.filter(|b| !self.usable(b)).count(),
             customers: self.customers.len(),
-            names: self.names.len(),
+            counter_keys: self.names.len(),
             requests: self.requests.len(),
             timers: self.timers.len(),
-            backends: self.backends.len(),
-            pace: self.pace,
-            calls_most: self.calls_most,
+            known_backends: self.backends.len(),
+            call_pace: self.pace,
+            max_calls: self.calls_most,
         }
     }
 }
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -72,7 +72,7 @@
 
 #[test]
 fn a_run_of_timeouts_ejects_a_backend() {
-    let mut rig = Rig::new(Config { second_copies: false, max_attempts: 1, ..config() }, 2);
+    let mut rig = Rig::new(Config { hedging: false, max_attempts: 1, ..config() }, 2);
     let mut failed = 0;
     for id in 0..40 {
         for (id, on) in sent(&rig.ask(id, 500 + u64::from(id))) {
@@ -102,7 +102,10 @@
 fn reports_do_not_make_the_backend_just_sent_to_look_idle() {
     // Danger: an old report less today's own requests looked like an idle backend.
     let fields = vec![LoadField::Active];
-    let mut rig = Rig::new(Config { load_fields: fields, load_via: LoadVia::Answers, ..config() }, 2);
+    let mut rig = Rig::new(
+        Config { load_fields: fields, load_report_source: LoadReportSource::Answers, ..config() },
+        2,
+    );
     let report = |n: f32| LoadReport { len: 1, values: [n, 0.0, 0.0, 0.0] };
     for step in 0..40 {
         rig.now += 100 * MS;
@@ -126,7 +129,7 @@
     assert_eq!(copies.len(), 1);
     assert_ne!(copies[0].1, first[0].1);
     let acts = rig.end(1, 1, copies[0].1, Outcome::Ok, 50);
-    assert!(acts.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptIx(0) }));
+    assert!(acts.contains(&Action::Cancel { id: RequestId(1), attempt: AttemptIndex(0) }));
 }
 
 #[test]
@@ -151,8 +154,8 @@
 fn a_begun_stream_outlives_the_deadline() {
     let mut rig = Rig::new(config(), 2);
     let on = sent(&rig.ask(1, 5))[0].1;
-    let (id, attempt) = (RequestId(1), AttemptIx(0));
-    rig.feed(Event::Flowing { id, attempt, backend: on, elapsed: MS });
+    let (id, attempt) = (RequestId(1), AttemptIndex(0));
+    rig.feed(Event::StreamStarted { id, attempt, backend: on, elapsed: MS });
     let done = rig.run(10 * SEC);
     assert!(answers(&done).is_empty() && sent(&done).is_empty());
     assert!(!done.contains(&Action::Cancel { id, attempt }));
@@ -204,7 +207,7 @@
     assert!(rig.end(77, 0, backend(0), Outcome::Ok, 5).is_empty());
     assert!(rig.feed(Event::Timer { token: TimerToken(u64::MAX) }).is_empty());
     assert!(rig.feed(Event::ClientGone { id: RequestId(5) }).is_empty());
-    assert!(rig.counted(CountName(3), Reckoned::Total(f64::NAN)).is_empty());
+    assert!(rig.counted(CounterKey(3), CounterResult::Total(f64::NAN)).is_empty());
 }
 
 #[test]
@@ -231,7 +234,7 @@
 #[test]
 fn a_backend_that_answers_its_first_few_fast_gathers_no_queue() {
     // Danger: slowness is learnt from answers alone, so a jammed backend with a good past drew all work.
-    let mut rig = Rig::new(Config { second_copies: false, ..config() }, 4);
+    let mut rig = Rig::new(Config { hedging: false, ..config() }, 4);
     for id in 0..40 {
         for (id, on) in sent(&rig.ask(id, 800 + u64::from(id))) {
             rig.end(id, 0, on, Outcome::Ok, if on == backend(0) { 5 } else { 500 });
@@ -252,7 +255,7 @@
 fn many_gateways_do_not_each_fill_the_fleet() {
     // Danger: a floor under refusals of one request a backend at each of ten gateways is a jam.
     let held = |gateways| {
-        let mut rig = Rig::new(Config { gateways, second_copies: false, ..config() }, 30);
+        let mut rig = Rig::new(Config { gateways, hedging: false, ..config() }, 30);
         rig.deadline = 60 * SEC;
         for id in 0..200 {
             let sends = sent(&rig.ask(id, 3_000 + u64::from(id)));
@@ -272,7 +275,7 @@
 #[test]
 fn a_client_that_gives_up_before_the_queue_is_done_is_refused() {
     // Danger: work sent on too late for an impatient client is waste, and it comes back for more.
-    let mut rig = Rig::new(Config { gateways: 1, second_copies: false, ..config() }, 2);
+    let mut rig = Rig::new(Config { gateways: 1, hedging: false, ..config() }, 2);
     let mut queue = std::collections::VecDeque::new();
     for id in 0..300 {
         let at = rig.now;
@@ -335,7 +338,7 @@
     // One in twenty is never answered, or two in five.
     for (few, of) in [(1, 20), (2, 5)] {
         let classes = vec![Class { effect: Effect::Unsafe, ..Class::pure("c", SEC / 2, 2 * SEC) }];
-        let mut rig = Rig::new(Config { classes, second_copies: false, ..config() }, 4);
+        let mut rig = Rig::new(Config { classes, hedging: false, ..config() }, 4);
         let (mut refused, mut silent) = (0, Vec::new());
         for id in 0..1_500 {
             let acts = rig.ask(id, 1_000 + u64::from(id));
@@ -378,8 +381,10 @@
 /// same trouble.
 #[test]
 fn whoever_no_backend_can_take_is_told_when_to_come_back() {
-    let advised = Config { retry_advice: true, max_advice: 2 * SEC, max_attempts: 2, ..config() };
-    let told = |acts: &[Action]| acts.iter().any(|a| matches!(a, Action::Refuse { wait, .. } if *wait > 0));
+    let advised = Config { send_retry_after: true, max_retry_after: 2 * SEC, max_attempts: 2, ..config() };
+    let told = |acts: &[Action]| {
+        acts.iter().any(|a| matches!(a, Action::Refuse { retry_after: wait, .. } if *wait > 0))
+    };
     let mut rig = Rig::new(advised.clone(), 0);
     assert!(told(&rig.ask(1, 5)), "no backend is listed");
     let mut rig = Rig::new(advised, 1);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -173,7 +173,7 @@
     }
 
     fn born(&mut self, g: usize) {
-        let config = Config { me: GatewayIx(g as u32), ..self.config.clone() };
+        let config = Config { own_index: GatewayIndex(g as u32), ..self.config.clone() };
         self.nodes[g].gateway = Some(Gateway::new(config, self.rng.u64(..)).expect("settings are sound"));
         self.nodes[g].life += 1;
         let rows = self.nodes[g].list.values().copied().collect();
@@ -182,9 +182,9 @@
 
     /// Part of its capacity that a backend has, as the settings tell it.
     fn warmth(&self, row: &BackendRow, at: Micros) -> f64 {
-        let (from, warm) = (self.config.cold_from, self.config.warm_up as f64);
-        let age = at.saturating_sub(row.started) as f64;
-        if row.started == 0 {
+        let (from, warm) = (self.config.cold_capacity, self.config.warm_up as f64);
+        let age = at.saturating_sub(row.started_at) as f64;
+        if row.started_at == 0 {
             1.0
         } else {
             (from + (1.0 - from) * age / warm).min(1.0)
@@ -236,8 +236,8 @@
         if !self.servers[s].up {
             return Some((WAY, Outcome::ConnectFailed));
         }
-        let told = self.nodes[g].told.get(&(row.backend, row.started)).is_some_and(|t| *t <= now);
-        let told = told || row.started == 0 || now >= row.started + DEEMED_TOLD;
+        let told = self.nodes[g].told.get(&(row.backend, row.started_at)).is_some_and(|t| *t <= now);
+        let told = told || row.started_at == 0 || now >= row.started_at + DEEMED_TOLD;
         let speed = self.warmth(&row, now);
         let server = &mut self.servers[s];
         server.got.push((now, work, told));
@@ -277,17 +277,17 @@
                 if self.nodes[g].life == life {
                     self.feed(
                         g,
-                        Event::AttemptEnded(Ended {
+                        Event::AttemptEnded(AttemptResult {
                             id: RequestId(request),
-                            attempt: AttemptIx(ix),
+                            attempt: AttemptIndex(ix),
                             backend: id(s),
                             outcome,
                             elapsed: self.now - sent,
-                            settled: outcome == Outcome::Ok,
-                            fleet_use: None,
-                            billed: None,
+                            request_done: outcome == Outcome::Ok,
+                            quota_use: None,
+                            billed_units: None,
                             load: LoadReport::default(),
-                            spent: false,
+                            body_consumed: false,
                         }),
                     );
                 }
@@ -301,7 +301,7 @@
                 (server.up, server.hangs) = (up, false);
                 server.cores.fill(now);
                 if up {
-                    (server.row.started, server.row.state) = (now, BackendState::Ready);
+                    (server.row.started_at, server.row.state) = (now, BackendState::Ready);
                     server.got.clear();
                 }
                 let broken: Vec<_> = self.out.iter().filter(|o| o.1 .0 == s).map(|o| *o.0).collect();
@@ -310,7 +310,7 @@
             Due::Hangs(s, on) => self.servers[s].hangs = on,
             Due::Told(g, row) => {
                 self.nodes[g].list.insert(row.backend, row);
-                self.nodes[g].told.insert((row.backend, row.started), self.now);
+                self.nodes[g].told.insert((row.backend, row.started_at), self.now);
                 self.feed(g, Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![row] });
             }
             Due::Gateway(g, true) => self.born(g),
@@ -318,7 +318,7 @@
                 self.nodes[g].gateway = None;
                 self.nodes[g].life += 1;
             }
-            Due::ByHand(g, s, out) => self.feed(g, Event::Barred { backend: id(s), out }),
+            Due::ByHand(g, s, out) => self.feed(g, Event::BackendDisabled { backend: id(s), disabled: out }),
             Due::Load(load) => self.load = load,
             Due::Shift => self.shift(),
             _ => {}
@@ -340,8 +340,8 @@
             g,
             Event::Request(Arrival {
                 id: RequestId(request),
-                class: ClassIx(0),
-                plan: PlanIx(0),
+                class: ClassIndex(0),
+                plan: PlanIndex(0),
                 customer: CustomerId(u64::from(request)),
                 deadline,
                 units: 1.0,
@@ -349,7 +349,7 @@
                 first_gateway: 0.0,
                 client_repeat: false,
                 write: false,
-                coming: false,
+                body_pending: false,
             }),
         );
         for ix in 0..4 {
@@ -369,7 +369,7 @@
     fn restart(&mut self, s: usize, wait: Micros, tell: Micros) {
         self.after(wait, Due::Server(s, true));
         let at = self.now + wait;
-        self.announce(at, BackendRow { started: at, ..self.servers[s].row }, tell);
+        self.announce(at, BackendRow { started_at: at, ..self.servers[s].row }, tell);
     }
 
     fn begin(&mut self, trouble: Trouble) {
@@ -449,19 +449,21 @@
     /// Every fall span that ends with something sent to a backend that is cold.
     fn judge(&self, from: Micros) -> Day {
         let mut day = Day { all: Worst::default(), told: Worst::default(), broken: 0, fair: 0.0 };
-        let (span, full) = (self.config.fall_after, 2.0 * SEC as f64 / self.work);
+        let (span, full) = (self.config.collapse_after, 2.0 * SEC as f64 / self.work);
         let (mut cold, mut warm) = ([0.0; 2], [0.0; 2]);
         for (s, server) in self.servers.iter().enumerate().filter(|s| s.1.up && !s.1.hangs) {
             let row = &server.row;
-            let used = if row.started > 0 { &mut cold } else { &mut warm };
-            let begin = from.max(row.started);
+            let used = if row.started_at > 0 { &mut cold } else { &mut warm };
+            let begin = from.max(row.started_at);
             let mean = (self.warmth(row, begin) + self.warmth(row, self.now)) / 2.0;
             // Those that drain take no more.
-            if row.started > 0 || self.nodes[0].list.get(&row.backend).is_some_and(|r| r.state == row.state) {
+            if row.started_at > 0
+                || self.nodes[0].list.get(&row.backend).is_some_and(|r| r.state == row.state)
+            {
                 used[0] += server.got.iter().filter(|g| g.0 >= begin).map(|g| g.1).sum::<f64>();
                 used[1] += mean * full * (self.now - begin) as f64 / SEC as f64;
             }
-            if row.started == 0 {
+            if row.started_at == 0 {
                 continue;
             }
             let mut first = 0;
@@ -475,16 +477,16 @@
                     told -= if knows { work } else { 0.0 };
                     first += 1;
                 }
-                let opens = at.saturating_sub(span).max(row.started);
+                let opens = at.saturating_sub(span).max(row.started_at);
                 let present = (self.warmth(row, opens) + self.warmth(row, at)) / 2.0;
-                if at >= row.started + self.config.warm_up {
+                if at >= row.started_at + self.config.warm_up {
                     break;
                 }
-                let n = self.config.fall_multiple * present * full * span as f64 / SEC as f64;
+                let n = self.config.collapse_multiple * present * full * span as f64 / SEC as f64;
                 let bound = n + 2.0 * n.sqrt() + 2.0;
                 for (worst, sum) in [(&mut day.all, all), (&mut day.told, told)] {
                     if sum / bound > worst.ratio {
-                        *worst = Worst { ratio: sum / bound, sum, n, at: at - row.started, backend: s };
+                        *worst = Worst { ratio: sum / bound, sum, n, at: at - row.started_at, backend: s };
                     }
                 }
                 day.broken += usize::from(all > bound && told > all * 2.0 / 3.0);
@@ -500,11 +502,11 @@
     let mut rng = Rng::with_seed(seed);
     let config = Config {
         classes: vec![Class::pure("read", 800 * MS, 2 * SEC)],
-        plans: vec![Plan::rated("open", 0.0, 0.0)],
-        cold_from: 0.15 + 0.15 * rng.f64(),
+        plans: vec![Plan::with_rate("open", 0.0, 0.0)],
+        cold_capacity: 0.15 + 0.15 * rng.f64(),
         warm_up: rng.u64(8 * SEC..=25 * SEC),
-        fall_multiple: 1.5 + rng.f64(),
-        fall_after: rng.u64(SEC..=3 * SEC),
+        collapse_multiple: 1.5 + rng.f64(),
+        collapse_after: rng.u64(SEC..=3 * SEC),
         ..Config::default()
     };
     let (backends, work) = match gateways {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -24,8 +24,8 @@
     Config {
         gateways: 2,
         classes: vec![Class::pure("read", SEC, 2 * SEC)],
-        plans: vec![Plan::rated("plan", 4.0, 8.0)],
-        counter: Some(Counter { timeout: 50 * MS, call_price: 0.01 }),
+        plans: vec![Plan::with_rate("plan", 4.0, 8.0)],
+        counter: Some(CounterSettings { timeout: 50 * MS, call_price: 0.01 }),
         ..Config::default()
     }
 }
@@ -89,8 +89,8 @@
     fn ask_for(&mut self, id: u32, customer: u64, class: usize, units: f64) -> Vec<Action> {
         self.feed(Event::Request(Arrival {
             id: RequestId(id),
-            class: ClassIx(class as _),
-            plan: PlanIx(self.plan),
+            class: ClassIndex(class as _),
+            plan: PlanIndex(self.plan),
             customer: CustomerId(customer),
             deadline: self.now + self.deadline,
             units,
@@ -98,31 +98,31 @@
             first_gateway: 0.0,
             client_repeat: false,
             write: false,
-            coming: false,
+            body_pending: false,
         }))
     }
 
     pub fn end(&mut self, id: u32, attempt: u8, on: BackendId, outcome: Outcome, ms: u64) -> Vec<Action> {
-        self.ended(Ended {
+        self.ended(AttemptResult {
             id: RequestId(id),
-            attempt: AttemptIx(attempt),
+            attempt: AttemptIndex(attempt),
             backend: on,
             outcome,
             elapsed: ms * MS,
-            settled: outcome == Outcome::Ok,
-            fleet_use: None,
-            billed: None,
+            request_done: outcome == Outcome::Ok,
+            quota_use: None,
+            billed_units: None,
             load: LoadReport::default(),
-            spent: false,
+            body_consumed: false,
         })
     }
 
-    pub fn ended(&mut self, ended: Ended) -> Vec<Action> {
+    pub fn ended(&mut self, ended: AttemptResult) -> Vec<Action> {
         self.feed(Event::AttemptEnded(ended))
     }
 
-    pub fn counted(&mut self, name: CountName, result: Reckoned) -> Vec<Action> {
-        self.feed(Event::Counted { name, result, elapsed: 2 * MS })
+    pub fn counted(&mut self, name: CounterKey, result: CounterResult) -> Vec<Action> {
+        self.feed(Event::CounterCallEnded { key: name, result, elapsed: 2 * MS })
     }
 }
 
@@ -134,9 +134,9 @@
     acts.iter().filter_map(pick).collect()
 }
 
-pub fn calls(acts: &[Action]) -> Vec<(CountName, f64)> {
+pub fn calls(acts: &[Action]) -> Vec<(CounterKey, f64)> {
     let pick = |a: &Action| match a {
-        Action::Count { name, amount, .. } => Some((*name, *amount)),
+        Action::CallCounter { key: name, amount, .. } => Some((*name, *amount)),
         _ => None,
     };
     acts.iter().filter_map(pick).collect()
--- a/tests/customers.rs
+++ b/tests/customers.rs
@@ -5,7 +5,10 @@
 use common::*;
 
 fn two_plans() -> Config {
-    Config { plans: vec![Plan::rated("small", 1.0, 4.0), Plan::rated("large", 25.0, 100.0)], ..config() }
+    Config {
+        plans: vec![Plan::with_rate("small", 1.0, 4.0), Plan::with_rate("large", 25.0, 100.0)],
+        ..config()
+    }
 }
 
 fn passed(rig: &mut Rig, first: u32, times: u32, customer: u64) -> usize {
@@ -43,11 +46,11 @@
         let mut acts = Vec::new();
         for (name, amount) in large {
             if late {
-                rig.counted(*name, Reckoned::Overdue);
-                let result = Reckoned::Total(*amount);
-                acts.extend(rig.feed(Event::CountedLate { name: *name, amount: *amount, result }));
+                rig.counted(*name, CounterResult::Overdue);
+                let result = CounterResult::Total(*amount);
+                acts.extend(rig.feed(Event::OverdueCallEnded { key: *name, amount: *amount, result }));
             } else {
-                acts.extend(rig.counted(*name, Reckoned::Total(*amount)));
+                acts.extend(rig.counted(*name, CounterResult::Total(*amount)));
             }
         }
         assert!(sent(&acts).iter().all(|s| s.0 >= 100), "{acts:?}");
@@ -79,14 +82,14 @@
 fn another_process_with_other_plans_takes_over_no_customer() {
     let mut old = Rig::new(two_plans(), 3);
     assert_eq!(passed(&mut old, 1, 9, 5), 2);
-    let legacy = old.gateway.legacy();
+    let legacy = old.gateway.handover_state();
     let mut plans = two_plans().plans;
     let same = Rig::new(two_plans(), 3);
     plans.reverse();
     let other = Rig::new(Config { plans, ..two_plans() }, 3);
     for (mut rig, of_small) in [(same, 0), (other, 2)] {
         rig.plan = u16::from(of_small > 0);
-        rig.feed(Event::Inherited(Box::new(legacy.clone())));
+        rig.feed(Event::HandoverReceived(Box::new(legacy.clone())));
         assert_eq!(passed(&mut rig, 100, 9, 5), of_small, "what its small plan has left here");
         rig.plan = 1 - rig.plan;
         assert!(passed(&mut rig, 200, 60, 5) >= 50, "its large plan is another's");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -33,7 +33,7 @@
 
 struct Fleet {
     rigs: Vec<Rig>,
-    numbers: HashMap<CountName, f64>,
+    numbers: HashMap<CounterKey, f64>,
     /// What is on its way to a gateway.
     due: BTreeMap<(Micros, u64), (usize, Event)>,
     sequence: u64,
@@ -44,9 +44,9 @@
 
 impl Fleet {
     fn new(answers: Answers) -> Self {
-        let plan = Plan { over_cost: 0.6, ..Plan::rated("plan", RATE, BURST) };
+        let plan = Plan { over_cost: 0.6, ..Plan::with_rate("plan", RATE, BURST) };
         let of = |me| Config {
-            me: GatewayIx(me),
+            own_index: GatewayIndex(me),
             gateways: GATEWAYS as u32,
             plans: vec![plan.clone()],
             ..config()
@@ -76,18 +76,18 @@
         let now = self.rigs[gateway].now;
         for act in acts {
             match act {
-                Action::Count { name, amount, .. } => {
+                Action::CallCounter { key: name, amount, .. } => {
                     let total = self.numbers.entry(name).or_default();
                     *total += amount;
-                    let total = Reckoned::Total(*total);
+                    let total = CounterResult::Total(*total);
                     if self.answers == Answers::Late {
-                        let result = Reckoned::Overdue;
-                        let overdue = Event::Counted { name, result, elapsed: 50 * MS };
+                        let result = CounterResult::Overdue;
+                        let overdue = Event::CounterCallEnded { key: name, result, elapsed: 50 * MS };
                         self.later(now + 50 * MS, gateway, overdue);
-                        let late = Event::CountedLate { name, amount, result: total };
+                        let late = Event::OverdueCallEnded { key: name, amount, result: total };
                         self.later(now + 70 * MS, gateway, late);
                     } else {
-                        let told = Event::Counted { name, result: total, elapsed: 4 * MS };
+                        let told = Event::CounterCallEnded { key: name, result: total, elapsed: 4 * MS };
                         self.later(now + 4 * MS, gateway, told);
                     }
                 }
@@ -98,17 +98,17 @@
                     } else {
                         account.beyond += 1.0;
                     }
-                    let ended = Ended {
+                    let ended = AttemptResult {
                         id,
-                        attempt: AttemptIx(0),
+                        attempt: AttemptIndex(0),
                         backend,
                         outcome: Outcome::Ok,
                         elapsed: 20 * MS,
-                        settled: true,
-                        fleet_use: None,
-                        billed: None,
+                        request_done: true,
+                        quota_use: None,
+                        billed_units: None,
                         load: LoadReport::default(),
-                        spent: false,
+                        body_consumed: false,
                     };
                     self.later(now + 20 * MS, gateway, Event::AttemptEnded(ended));
                 }
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -5,19 +5,19 @@
 use common::*;
 
 /// Spends the first part (four of eight units) and returns the held fifth request's call.
-fn held(rig: &mut Rig) -> (CountName, f64) {
+fn held(rig: &mut Rig) -> (CounterKey, f64) {
     let acts: Vec<_> = (1..=5).flat_map(|id| rig.ask(id, 5)).collect();
     assert_eq!(sent(&acts).len(), 4);
     *calls(&acts).last().expect("a call for the held request")
 }
 
 /// Answers all calls out: the other window with nought, this name with `total`.
-fn tell(rig: &mut Rig, name: CountName, total: f64) -> Vec<Action> {
+fn tell(rig: &mut Rig, name: CounterKey, total: f64) -> Vec<Action> {
     let names: Vec<_> = calls(&rig.out).into_iter().map(|c| c.0).collect();
     rig.out.clear();
     let mut acts = Vec::new();
     for n in names {
-        acts.extend(rig.counted(n, Reckoned::Total(if n == name { total } else { 0.0 })));
+        acts.extend(rig.counted(n, CounterResult::Total(if n == name { total } else { 0.0 })));
     }
     acts
 }
@@ -46,7 +46,8 @@
     let (name, _) = held(&mut rig);
     let acts = tell(&mut rig, name, 12.0);
     assert!(sent(&acts).is_empty());
-    let waits = |a: &Action| matches!(a, Action::Refuse { id: RequestId(5), wait, .. } if *wait > 0);
+    let waits =
+        |a: &Action| matches!(a, Action::Refuse { id: RequestId(5), retry_after: wait, .. } if *wait > 0);
     assert!(acts.iter().any(waits));
     let next = rig.ask(6, 5);
     assert_eq!(answers(&next), vec![(6, true)], "over the estimate: refused at once");
@@ -83,42 +84,42 @@
     rig.ask(1, 5);
     let first = calls(&rig.run(1_100 * MS));
     let name = first.iter().find(|c| c.1 == 1.0).expect("the add").0;
-    rig.counted(name, Reckoned::NotAdded);
+    rig.counted(name, CounterResult::NotAdded);
     assert!(calls(&rig.run(1_100 * MS)).contains(&(name, 1.0)));
 }
 
 #[test]
 fn an_unanswered_add_is_not_sent_twice_unless_a_total_disproves_it() {
-    let mut rig = Rig::new(Config { plans: vec![Plan::rated("long", 1.0, 16.0)], ..config() }, 3);
+    let mut rig = Rig::new(Config { plans: vec![Plan::with_rate("long", 1.0, 16.0)], ..config() }, 3);
     let add = |rig: &mut Rig, id| {
         rig.ask(id, 5);
         let got = calls(&rig.run(1_100 * MS));
         *got.iter().find(|c| c.1 > 0.0).expect("an add")
     };
     let (name, _) = add(&mut rig, 1);
-    rig.counted(name, Reckoned::Unanswered);
+    rig.counted(name, CounterResult::Unanswered);
     assert!(calls(&rig.run(900 * MS)).iter().all(|c| c.1 == 0.0), "it may have counted");
     let (again, amount) = add(&mut rig, 2);
     assert_eq!((again, amount), (name, 1.0));
-    rig.counted(name, Reckoned::Total(1.0));
+    rig.counted(name, CounterResult::Total(1.0));
     assert!(calls(&rig.run(1_100 * MS)).contains(&(name, 1.0)), "the total shows that it did not");
 }
 
 #[test]
 fn a_forgotten_total_grants_no_fresh_window_and_is_restored_once() {
-    let mut rig = Rig::new(Config { plans: vec![Plan::rated("long", 1.0, 16.0)], ..config() }, 3);
+    let mut rig = Rig::new(Config { plans: vec![Plan::with_rate("long", 1.0, 16.0)], ..config() }, 3);
     let acts: Vec<_> = (1..=6).flat_map(|id| rig.ask(id, 5)).collect();
     assert_eq!(sent(&acts).len(), 6);
     let got = calls(&rig.run(1_100 * MS));
     let name = got.iter().find(|c| c.1 > 0.0).expect("an add").0;
-    rig.counted(name, Reckoned::Total(6.0));
+    rig.counted(name, CounterResult::Total(6.0));
     rig.ask(7, 5);
     let next = calls(&rig.run(1_100 * MS));
     assert!(next.contains(&(name, 1.0)));
-    rig.counted(name, Reckoned::Total(1.0));
+    rig.counted(name, CounterResult::Total(1.0));
     let restored = calls(&rig.run(1_100 * MS));
     assert_eq!(restored.iter().filter(|c| c.1 > 0.0).collect::<Vec<_>>(), vec![&(name, 6.0)]);
-    rig.counted(name, Reckoned::Total(7.0));
+    rig.counted(name, CounterResult::Total(7.0));
     assert!(calls(&rig.run(1_100 * MS)).iter().all(|c| c.1 == 0.0), "once");
 }
 
@@ -133,7 +134,7 @@
         let names: Vec<_> = calls(&rig.out).into_iter().map(|c| c.0).collect();
         made += names.len();
         for name in names {
-            rig.counted(name, Reckoned::Unanswered);
+            rig.counted(name, CounterResult::Unanswered);
         }
         for (id, on) in sent(&rig.out.clone()) {
             rig.end(id, 0, on, Outcome::Ok, 5);
@@ -150,7 +151,7 @@
     let got = calls(&rig.run(1_100 * MS));
     rig.run(10 * SEC);
     rig.ask(2, 5);
-    rig.counted(got[0].0, Reckoned::Total(500.0));
+    rig.counted(got[0].0, CounterResult::Total(500.0));
     assert_eq!(sent(&rig.ask(3, 5)).len(), 1, "an old window's total is not this one's");
 }
 
@@ -167,7 +168,7 @@
 #[test]
 fn without_a_counter_one_that_comes_again_far_above_its_part_is_refused_where_that_costs() {
     for (gateways, over_cost, again) in [(200, 0.5, 0), (200, 0.0, 1), (15, 0.5, 0), (8, 0.5, 1)] {
-        let plan = Plan { over_cost, ..Plan::rated("plan", 1.6, 5.0) };
+        let plan = Plan { over_cost, ..Plan::with_rate("plan", 1.6, 5.0) };
         let config = Config { gateways, plans: vec![plan], counter: None, ..config() };
         let mut rig = Rig::new(config, 3);
         rig.spread = f64::from(gateways);
@@ -184,21 +185,21 @@
 
 #[test]
 fn settled_costs_replace_the_guess() {
-    let plans = vec![Plan::rated("after", 1.0, 16.0)];
-    let mut rig = Rig::new(Config { cost_after: true, plans, ..config() }, 3);
+    let plans = vec![Plan::with_rate("after", 1.0, 16.0)];
+    let mut rig = Rig::new(Config { billed_on_response: true, plans, ..config() }, 3);
     let on = sent(&rig.ask(1, 5))[0].1;
     let load = LoadReport::default();
-    let (id, attempt, outcome) = (RequestId(1), AttemptIx(0), Outcome::Ok);
-    rig.ended(Ended {
+    let (id, attempt, outcome) = (RequestId(1), AttemptIndex(0), Outcome::Ok);
+    rig.ended(AttemptResult {
         id,
         attempt,
         backend: on,
         outcome,
         elapsed: MS,
-        settled: true,
-        fleet_use: None,
-        spent: false,
-        billed: Some(7.0),
+        request_done: true,
+        quota_use: None,
+        body_consumed: false,
+        billed_units: Some(7.0),
         load,
     });
     let done = calls(&rig.run(1_100 * MS));
@@ -207,7 +208,7 @@
 
 #[test]
 fn a_cap_on_open_requests_holds() {
-    let plans = vec![Plan { at_once: 4, rate: 0.0, burst: 0.0, ..Plan::rated("open", 0.0, 0.0) }];
+    let plans = vec![Plan { max_concurrent: 4, rate: 0.0, burst: 0.0, ..Plan::with_rate("open", 0.0, 0.0) }];
     let mut rig = Rig::new(Config { plans, ..config() }, 3);
     let acts: Vec<_> = (0..10).flat_map(|id| rig.ask(id, 5)).collect();
     let out = sent(&acts);
@@ -233,15 +234,15 @@
     let named = |c: Config| Gateway::new(c, 1).err().expect("refused").to_string();
     assert!(named(Config { classes: vec![], ..config() }).contains("classes"));
     assert!(named(Config { plans: vec![], ..config() }).contains("plans"));
-    assert!(named(Config { plans: vec![Plan::rated("odd", -1.0, 3.0)], ..config() }).contains("odd"));
-    assert!(named(Config { cold_from: f64::NAN, ..config() }).contains("cold_from"));
+    assert!(named(Config { plans: vec![Plan::with_rate("odd", -1.0, 3.0)], ..config() }).contains("odd"));
+    assert!(named(Config { cold_capacity: f64::NAN, ..config() }).contains("cold_from"));
 }
 
 #[test]
 fn where_calls_are_short_a_small_part_still_lets_one_request_go() {
     // Danger: split over many gateways a small quota's part is below one request, and with no call
     // to spare for a fresh total every calm customer of that plan would be refused.
-    let plans = vec![Plan::rated("small", 1.0, 3.0)];
+    let plans = vec![Plan::with_rate("small", 1.0, 3.0)];
     let mut rig = Rig::new(Config { gateways: 7, plans, ..config() }, 30);
     rig.spread = 7.0;
     for id in 0..40 {
@@ -253,7 +254,7 @@
 }
 
 /// Asks until this customer's part is spent and one request is held; returns the calls for it.
-fn hold(rig: &mut Rig, customer: u64) -> Vec<(CountName, f64)> {
+fn hold(rig: &mut Rig, customer: u64) -> Vec<(CounterKey, f64)> {
     let first = 100 * customer as u32;
     let acts: Vec<_> = (first..first + 5).flat_map(|id| rig.ask(id, customer)).collect();
     calls(&acts)
@@ -270,10 +271,13 @@
         let others = hold(&mut rig, 2);
         rig.now += 10 * MS;
         if answered {
-            others.iter().for_each(|c| drop(rig.counted(c.0, Reckoned::Total(5.0))));
+            others.iter().for_each(|c| drop(rig.counted(c.0, CounterResult::Total(5.0))));
         }
-        let overdue =
-            |c: &(CountName, f64)| Event::Counted { name: c.0, result: Reckoned::Overdue, elapsed: 50 * MS };
+        let overdue = |c: &(CounterKey, f64)| Event::CounterCallEnded {
+            key: c.0,
+            result: CounterResult::Overdue,
+            elapsed: 50 * MS,
+        };
         hangs.iter().for_each(|c| drop(rig.feed(overdue(c))));
         let next: Vec<_> = (3..7).filter(|&customer| !hold(&mut rig, customer).is_empty()).collect();
         assert_eq!(next.len(), if answered { 4 } else { 0 }, "calls go out beside the one that hangs");
@@ -283,7 +287,7 @@
 /// An even part of one unit a window is served while the counter is silent, neither halved nor exceeded.
 #[test]
 fn alone_a_small_part_is_served_in_full() {
-    let plans = vec![Plan::rated("small", 1.0, 2.0)];
+    let plans = vec![Plan::with_rate("small", 1.0, 2.0)];
     let mut rig = Rig::new(Config { plans, ..config() }, 3);
     let mut passed = 0;
     for id in 0..200 {
@@ -295,7 +299,7 @@
             rig.end(id, 0, on, Outcome::Ok, 5);
         }
         rig.out.clear();
-        names.into_iter().for_each(|name| drop(rig.counted(name, Reckoned::Unanswered)));
+        names.into_iter().for_each(|name| drop(rig.counted(name, CounterResult::Unanswered)));
     }
     // Forty seconds at half a unit a second.
     assert!((18..=24).contains(&passed), "{passed} have passed");
@@ -316,8 +320,11 @@
             for (name, amount) in calls(&acts) {
                 let own = totals.entry(name).or_insert(0.0);
                 *own += amount;
-                let told =
-                    if rig.now < silent_from { Reckoned::Total(*own * 1.27) } else { Reckoned::Unanswered };
+                let told = if rig.now < silent_from {
+                    CounterResult::Total(*own * 1.27)
+                } else {
+                    CounterResult::Unanswered
+                };
                 acts.extend(rig.counted(name, told));
             }
             refused += answers(&acts).len();
@@ -337,7 +344,7 @@
 fn heir(rig: &Rig) -> Rig {
     let mut heir = Rig::new(config(), 2);
     heir.now = rig.now;
-    heir.feed(Event::Inherited(Box::new(rig.gateway.legacy())));
+    heir.feed(Event::HandoverReceived(Box::new(rig.gateway.handover_state())));
     heir
 }
 
@@ -358,11 +365,11 @@
     let told = |heir: &mut Rig| calls(&heir.run(2 * SEC)).iter().map(|c| c.1).sum::<f64>();
     assert!(told(&mut heir(&rig)).abs() < 1e-9, "what the other process still tells");
     let mut heir = heir(&rig);
-    let left = rig.gateway.spent();
+    let left = rig.gateway.take_unsynced_units();
     assert_eq!(left.iter().map(|s| s.units).sum::<f64>(), spent);
-    heir.feed(Event::Spent(left));
+    heir.feed(Event::UnsyncedUnits(left));
     assert_eq!(told(&mut heir), spent);
-    assert!(rig.gateway.spent().is_empty());
+    assert!(rig.gateway.take_unsynced_units().is_empty());
 }
 
 /// Guards against units lost of customers that came first after the next process had been told what is known; also
@@ -370,14 +377,14 @@
 #[test]
 fn units_of_customers_that_the_next_process_has_not_met_are_told_by_it() {
     let plans = |names: &[&str]| Config {
-        plans: names.iter().map(|name| Plan::rated(name, 4.0, 8.0)).collect(),
+        plans: names.iter().map(|name| Plan::with_rate(name, 4.0, 8.0)).collect(),
         ..config()
     };
     for (names, whole) in [(&["plan"][..], true), (&["other", "plan"][..], true), (&["other"][..], false)] {
         let mut rig = Rig::new(config(), 2);
         let (mut heir, mut fresh) = (Rig::new(plans(names), 2), Rig::new(plans(names), 2));
         let spent = (1..8).flat_map(|n| sent(&rig.ask(n as u32, n))).count() as f64;
-        heir.feed(Event::Spent(rig.gateway.spent()));
+        heir.feed(Event::UnsyncedUnits(rig.gateway.take_unsynced_units()));
         let made = calls(&heir.run(2 * SEC));
         let told = made.iter().map(|c| c.1).sum::<f64>();
         assert_eq!(told, if whole { spent } else { 0.0 }, "{names:?}");
@@ -397,7 +404,7 @@
 fn two_processes_spend_no_more_than_one() {
     let served = |paired| {
         let mut rig = Rig::new(config(), 2);
-        rig.feed(Event::Paired { on: paired });
+        rig.feed(Event::OtherProcess { serving: paired });
         (0..20).flat_map(|n| sent(&rig.ask(n, 7))).count()
     };
     assert!(2 * served(true) <= served(false));
@@ -414,10 +421,14 @@
             let mut acts = rig.ask(n, customer);
             acts.extend(rig.run(100 * MS));
             for (name, amount) in calls(&acts) {
-                rig.feed(Event::Counted { name, result: Reckoned::Total(amount), elapsed: ms * MS });
+                rig.feed(Event::CounterCallEnded {
+                    key: name,
+                    result: CounterResult::Total(amount),
+                    elapsed: ms * MS,
+                });
             }
         }
-        rig.gateway.vitals().calls_most
+        rig.gateway.diagnostics().max_calls
     };
     assert_eq!(most(32), 16.0);
     assert!(most(45) < 16.0);
@@ -440,13 +451,14 @@
         // The last window holds nothing; the call that carries units is the late one.
         let (with, without): (Vec<_>, Vec<_>) = held.into_iter().partition(|c| c.1 != 0.0);
         let (name, amount) = *with.first().expect("a call");
-        without.iter().for_each(|c| drop(rig.counted(c.0, Reckoned::Total(0.0))));
-        let overdue = Event::Counted { name, result: Reckoned::Overdue, elapsed: 50 * MS };
+        without.iter().for_each(|c| drop(rig.counted(c.0, CounterResult::Total(0.0))));
+        let overdue = Event::CounterCallEnded { key: name, result: CounterResult::Overdue, elapsed: 50 * MS };
         let mut acts = rig.feed(overdue);
         assert!(sent(&acts).is_empty() && answers(&acts).is_empty(), "it waits for what may still come");
         if let Some(total) = late {
             rig.now += 20 * MS;
-            acts = rig.feed(Event::CountedLate { name, amount, result: Reckoned::Total(total) });
+            acts =
+                rig.feed(Event::OverdueCallEnded { key: name, amount, result: CounterResult::Total(total) });
         } else {
             acts.extend(rig.run(60 * MS));
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -67,8 +67,8 @@
         let mut rig = Rig::new(group_of(group), 1);
         let on = sent(&rig.ask(1, 5))[0].1;
         let far = BackendRow {
-            cell: CellIx(9),
-            zone: ZoneIx(9),
+            cell: CellIndex(9),
+            zone: ZoneIndex(9),
             ..BackendRow::new(backend(7), BackendState::Ready)
         };
         rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![far] });
@@ -89,7 +89,7 @@
 
 #[test]
 fn rule_2_without_second_copies_two_attempts_are_never_out_together() {
-    let mut rig = Rig::new(Config { second_copies: false, ..config() }, 4);
+    let mut rig = Rig::new(Config { hedging: false, ..config() }, 4);
     assert_eq!(sent(&rig.ask(1, 5)).len(), 1);
     assert!(sent(&rig.run(3 * SEC)).is_empty(), "the only attempt is still out");
 }
@@ -112,7 +112,7 @@
     let ask = |rig: &mut Rig, from: u32| -> Vec<_> {
         sent(&(from..from + 20).flat_map(|n| rig.ask(n, 100 + u64::from(n))).collect::<Vec<_>>())
     };
-    let bar = |rig: &mut Rig, out| rig.feed(Event::Barred { backend: backend(0), out });
+    let bar = |rig: &mut Rig, out| rig.feed(Event::BackendDisabled { backend: backend(0), disabled: out });
     // Twice out is out once.
     bar(&mut rig, true);
     bar(&mut rig, true);
@@ -121,14 +121,14 @@
         let rows = [0, 1].map(|n| BackendRow::new(backend(n), state));
         let rows = rows.into_iter().filter(|r| state == BackendState::Ready || r.backend == backend(0));
         let start = |r: &BackendRow| if r.backend == backend(0) { started } else { 0 };
-        let rows = rows.map(|r| BackendRow { started: start(&r), ..r }).collect();
+        let rows = rows.map(|r| BackendRow { started_at: start(&r), ..r }).collect();
         rig.feed(Event::Backends { kind, version: 2, rows });
         let all = ask(&mut rig, if kind == ListKind::Delta { 0 } else { 20 });
         assert!(all.len() > 5 && all.iter().all(|s| s.1 == backend(1)), "{state:?}");
     }
-    assert_eq!(rig.gateway.vitals().skipped, 1);
+    assert_eq!(rig.gateway.diagnostics().skipped_backends, 1);
     bar(&mut rig, false);
-    assert_eq!(rig.gateway.vitals().skipped, 0);
+    assert_eq!(rig.gateway.diagnostics().skipped_backends, 0);
 }
 
 #[test]
@@ -138,9 +138,9 @@
         let all: Vec<_> = (from..from + 40).flat_map(|n| rig.ask(n, 100 + u64::from(n))).collect();
         [0, 1].map(|n| sent(&all).iter().filter(|s| s.1 == backend(n)).count())
     };
-    rig.feed(Event::Barred { backend: backend(0), out: true });
+    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: true });
     rig.run(4 * SEC);
-    rig.feed(Event::Barred { backend: backend(0), out: false });
+    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: false });
     let [back, other] = count(&mut rig, 0);
     assert!(2 * back < other, "{back} of {other}");
 }
@@ -161,9 +161,9 @@
         }
         got
     };
-    rig.feed(Event::Barred { backend: backend(0), out: true });
+    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: true });
     rig.run(4 * SEC);
-    rig.feed(Event::Barred { backend: backend(0), out: false });
+    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: false });
     // At 0.2 to 0.6 of its capacity, whatever an old list says.
     for from in 0..3 {
         let [back, other] = serve(&mut rig, 1_000 * from);
@@ -173,7 +173,7 @@
         rig.feed(Event::Backends { kind: ListKind::Full, version: 2, rows });
     }
     let started = rig.now - config().warm_up + MS;
-    let row = BackendRow { started, ..BackendRow::new(backend(0), BackendState::Ready) };
+    let row = BackendRow { started_at: started, ..BackendRow::new(backend(0), BackendState::Ready) };
     rig.feed(Event::Backends { kind: ListKind::Delta, version: 3, rows: vec![row] });
     let [back, other] = serve(&mut rig, 5_000);
     assert!(3 * back > other, "{back} of {other} once it is known to be warm");
@@ -200,7 +200,8 @@
 #[test]
 fn rule_3_on_request_discovery_is_asked_well_within_its_time() {
     let ask_every = 3 * SEC;
-    let mut rig = Rig::new(Config { discovery: Discovery::OnRequest { ask_every }, ..config() }, 2);
+    let mut rig =
+        Rig::new(Config { discovery: Discovery::OnRequest { ask_interval: ask_every }, ..config() }, 2);
     let asks = |a: &Action| matches!(a, Action::Subscribe { on: true } | Action::FetchList);
     assert!(rig.out.iter().any(asks), "subscribes at its start");
     // Danger: a hundred gateways that ask for whole lists beside what they are told keep discovery from telling.
@@ -214,7 +215,7 @@
 #[test]
 fn rule_4_a_cold_backend_gets_its_share_of_the_fall_budget_at_most() {
     let mut rig = Rig::new(config(), 3);
-    let cold = BackendRow { started: rig.now - 1, ..BackendRow::new(backend(9), BackendState::Ready) };
+    let cold = BackendRow { started_at: rig.now - 1, ..BackendRow::new(backend(9), BackendState::Ready) };
     rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![cold] });
     let (mut to_cold, mut to_warm) = (0, 0);
     for n in 0..100 {
@@ -237,13 +238,13 @@
 /// Guards against cold backends kept idle beside jammed ones: what they may get goes by what a warm one gets.
 #[test]
 fn rule_4_many_cold_backends_get_as_much_as_their_warmth_of_a_warm_one() {
-    let mut rig = Rig::new(Config { cold_from: 0.5, warm_up: 100 * SEC, ..config() }, 2);
+    let mut rig = Rig::new(Config { cold_capacity: 0.5, warm_up: 100 * SEC, ..config() }, 2);
     let started = rig.now;
-    let cold = |n| BackendRow { started, ..BackendRow::new(backend(n), BackendState::Ready) };
+    let cold = |n| BackendRow { started_at: started, ..BackendRow::new(backend(n), BackendState::Ready) };
     let (mut to, mut out) = ([0.0_f64; 10], std::collections::VecDeque::new());
     for n in 0..1_200 {
         if n == 400 {
-            let rows = (4..10).map(|n| BackendRow { started: rig.now, ..cold(n) }).collect();
+            let rows = (4..10).map(|n| BackendRow { started_at: rig.now, ..cold(n) }).collect();
             rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
         }
         for (id, on) in sent(&rig.ask(n, 1000 + u64::from(n))) {
@@ -268,7 +269,7 @@
 fn a_backend_that_answers_with_errors_does_not_come_back_cold() {
     let mut rig = Rig::new(config(), 2);
     let mut n = 0;
-    while rig.gateway.vitals().ejected == 0 {
+    while rig.gateway.diagnostics().ejected_backends == 0 {
         n += 1;
         for (id, on) in sent(&rig.ask(n, 1000 + u64::from(n))) {
             let outcome = if on == backend(0) { Outcome::Error } else { Outcome::Ok };
@@ -292,7 +293,7 @@
 
 fn ceiling(rate: f64, burst: f64) -> Config {
     let ceiling = Some(Ceiling { rate, burst, slack: 1.0 });
-    Config { plans: vec![Plan { ceiling, ..Plan::rated("capped", 100.0, 200.0) }], ..config() }
+    Config { plans: vec![Plan { ceiling, ..Plan::with_rate("capped", 100.0, 200.0) }], ..config() }
 }
 
 #[test]
@@ -321,17 +322,17 @@
     for spent in [false, true] {
         let mut rig = Rig::new(config(), 3);
         let first = sent(&rig.ask(1, 7))[0].1;
-        let ended = Ended {
+        let ended = AttemptResult {
             id: RequestId(1),
-            attempt: AttemptIx(0),
+            attempt: AttemptIndex(0),
             backend: first,
             outcome: Outcome::Full,
             elapsed: MS,
-            settled: false,
-            fleet_use: None,
-            billed: None,
+            request_done: false,
+            quota_use: None,
+            billed_units: None,
             load: LoadReport::default(),
-            spent,
+            body_consumed: spent,
         };
         let acts = rig.ended(ended);
         assert_eq!((sent(&acts).len(), answers(&acts).len()), if spent { (0, 1) } else { (1, 0) });
@@ -345,8 +346,8 @@
     let mut rig = Rig::new(config(), 3);
     let arrival = Arrival {
         id: RequestId(1),
-        class: ClassIx(0),
-        plan: PlanIx(0),
+        class: ClassIndex(0),
+        plan: PlanIndex(0),
         customer: CustomerId(7),
         deadline: rig.now + 100 * SEC,
         units: 1.0,
@@ -354,15 +355,15 @@
         first_gateway: 0.0,
         client_repeat: false,
         write: false,
-        coming: true,
+        body_pending: true,
     };
     assert_eq!(sent(&rig.feed(Event::Request(arrival))).len(), 1);
-    let idle = rig.gateway.vitals();
-    assert_eq!((idle.out, idle.lost), (1, 1), "no work waits with it");
+    let idle = rig.gateway.diagnostics();
+    assert_eq!((idle.in_flight, idle.stalled), (1, 1), "no work waits with it");
     assert!(answers(&rig.run(3 * SEC)).is_empty());
     let deadline = rig.now + SEC;
     rig.feed(Event::Uploaded { id: RequestId(1), deadline });
-    assert_eq!(rig.gateway.vitals().lost, 0);
+    assert_eq!(rig.gateway.diagnostics().stalled, 0);
     assert!(answers(&rig.run(SEC - MS)).is_empty());
     assert_eq!(answers(&rig.run(2 * MS)).len(), 1);
     rig.feed(Event::Uploaded { id: RequestId(9), deadline });
@@ -375,7 +376,7 @@
     let mut n = 0;
     let mut errors = |rig: &mut Rig| {
         let mut seen = 0;
-        while rig.gateway.vitals().ejected == 0 {
+        while rig.gateway.diagnostics().ejected_backends == 0 {
             n += 1;
             for (id, on) in sent(&rig.ask(n, 1000 + u64::from(n))) {
                 let bad = on == backend(0);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -6,17 +6,17 @@
 use std::collections::BTreeSet;
 
 fn many(gateways: u32, me: u32, plan: Plan) -> Config {
-    Config { gateways, me: GatewayIx(me), plans: vec![plan], second_copies: false, ..config() }
+    Config { gateways, own_index: GatewayIndex(me), plans: vec![plan], hedging: false, ..config() }
 }
 
 fn rig(gateways: u32, me: u32, backends: u8) -> Rig {
-    let mut rig = Rig::new(many(gateways, me, Plan::rated("small", 1.0, 4.0)), backends);
+    let mut rig = Rig::new(many(gateways, me, Plan::with_rate("small", 1.0, 4.0)), backends);
     rig.spread = f64::from(gateways);
     rig
 }
 
 /// Answers calls out so far by `answer`, whatever they added.
-fn answer_calls(rig: &mut Rig, acts: &[Action], answer: Reckoned) -> Vec<Action> {
+fn answer_calls(rig: &mut Rig, acts: &[Action], answer: CounterResult) -> Vec<Action> {
     calls(acts).into_iter().flat_map(|(name, _)| rig.counted(name, answer)).collect()
 }
 
@@ -33,14 +33,14 @@
         } else if id >= 300 {
             late += made
         }
-        let settled = answer_calls(&mut rig, &acts, Reckoned::NotAdded);
+        let settled = answer_calls(&mut rig, &acts, CounterResult::NotAdded);
         acts.extend(settled);
         passed += sent(&acts).len();
         for (id, on) in sent(&acts) {
             rig.end(id, 0, on, Outcome::Ok, 50);
         }
         let more = rig.run(100 * MS);
-        answer_calls(&mut rig, &more, Reckoned::NotAdded);
+        answer_calls(&mut rig, &more, CounterResult::NotAdded);
     }
     assert!(late * 2 < early.max(2), "calls fall while the counter is crowded: {early} then {late}");
     assert!(passed > 300, "{passed} of 400 customers not met before");
@@ -53,7 +53,7 @@
     let mut passed = 0;
     for id in 0..100 {
         let acts = rig.ask(id, 5);
-        let settled = answer_calls(&mut rig, &acts, Reckoned::NotAdded);
+        let settled = answer_calls(&mut rig, &acts, CounterResult::NotAdded);
         for (id, on) in sent(&acts).into_iter().chain(sent(&settled)) {
             passed += 1;
             rig.end(id, 0, on, Outcome::Ok, 50);
@@ -66,7 +66,7 @@
 #[test]
 fn the_meter_tells_who_is_over_where_no_call_can_be_made() {
     let passes = |used: f64| {
-        let plan = Plan::rated("small", 1.0, 4.0);
+        let plan = Plan::with_rate("small", 1.0, 4.0);
         let metered = Config { counter: None, meter_period: SEC, ..many(300, 7, plan) };
         let mut rig = Rig::new(metered, 100);
         rig.spread = 300.0;
@@ -74,20 +74,20 @@
         for id in 0..20 {
             for (id, backend) in sent(&rig.ask(id, 5)) {
                 passed += 1;
-                let (attempt, outcome, load) = (AttemptIx(0), Outcome::Ok, LoadReport::default());
+                let (attempt, outcome, load) = (AttemptIndex(0), Outcome::Ok, LoadReport::default());
                 let (id, elapsed, settled, billed) = (RequestId(id), 50 * MS, true, None);
                 let fleet_use = Some(used);
-                rig.ended(Ended {
+                rig.ended(AttemptResult {
                     id,
                     attempt,
                     backend,
                     outcome,
                     elapsed,
-                    settled,
-                    fleet_use,
-                    billed,
+                    request_done: settled,
+                    quota_use: fleet_use,
+                    billed_units: billed,
                     load,
-                    spent: false,
+                    body_consumed: false,
                 });
             }
             rig.run(9 * SEC);
@@ -102,9 +102,9 @@
 fn all_gateways_together_send_a_cold_backend_less_than_one_each() {
     // Danger: a floor of one from each of hundreds pushes a cold backend over.
     let sends = (0..60).map(|me| {
-        let mut rig = Rig::new(many(300, me, Plan::rated("open", 0.0, 0.0)), 1);
+        let mut rig = Rig::new(many(300, me, Plan::with_rate("open", 0.0, 0.0)), 1);
         let mut row = BackendRow::new(backend(0), BackendState::Ready);
-        row.started = rig.now;
+        row.started_at = rig.now;
         rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![row] });
         sent(&rig.ask(1, 5)).len()
     });
@@ -116,7 +116,7 @@
 fn the_floor_under_refusals_is_taken_in_turns() {
     // Danger: one out at each of hundreds of gateways is several at every backend, and the jam stays.
     let lets_in = (0..60).map(|me| {
-        let one_try = Config { max_attempts: 1, ..many(300, me, Plan::rated("open", 0.0, 0.0)) };
+        let one_try = Config { max_attempts: 1, ..many(300, me, Plan::with_rate("open", 0.0, 0.0)) };
         let mut rig = Rig::new(one_try, 15);
         for id in 0..40 {
             for (id, on) in sent(&rig.ask(id, 50 + u64::from(id))) {
@@ -161,7 +161,7 @@
     // Danger: where nothing is reported, backends that once answered `full` were shunned ever after and
     // the rest jammed; and a `full` that concerns one class alone kept the others away.
     let classes = vec![Class::pure("a", SEC, 2 * SEC), Class::pure("b", SEC, 2 * SEC)];
-    let plans = vec![Plan::rated("open", 0.0, 0.0), Plan::rated("other", 0.0, 0.0)];
+    let plans = vec![Plan::with_rate("open", 0.0, 0.0), Plan::with_rate("other", 0.0, 0.0)];
     let mut rig = Rig::new(Config { classes, plans, max_attempts: 2, ..config() }, 2);
     for id in 0..10 {
         for (id, on) in sent(&rig.ask(id, 5)) {
@@ -178,8 +178,8 @@
         for id in from..from + 40 {
             let acts = rig.feed(Event::Request(Arrival {
                 id: RequestId(id),
-                class: ClassIx(class),
-                plan: PlanIx(plan),
+                class: ClassIndex(class),
+                plan: PlanIndex(plan),
                 customer: CustomerId(u64::from(plan)),
                 deadline: rig.now + 2 * SEC,
                 units: 1.0,
@@ -187,7 +187,7 @@
                 first_gateway: 0.0,
                 client_repeat: false,
                 write: false,
-                coming: false,
+                body_pending: false,
             }));
             for (id, on) in sent(&acts) {
                 met += usize::from(on == backend(0));
@@ -211,7 +211,7 @@
 
 impl Fleet {
     fn new(gateways: u32, backends: u8) -> Self {
-        let open = Plan::rated("open", 0.0, 0.0);
+        let open = Plan::with_rate("open", 0.0, 0.0);
         let rigs = (0..gateways).map(|me| {
             let mut rig = Rig::new(many(gateways, me, open.clone()), backends);
             rig.spread = f64::from(gateways);
@@ -259,7 +259,7 @@
     fleet.play(4 * SEC, 250 * MS);
     let now = fleet.rigs[0].now;
     let rows: Vec<_> = (0..12)
-        .map(|n| BackendRow { started: now, ..BackendRow::new(backend(n), BackendState::Ready) })
+        .map(|n| BackendRow { started_at: now, ..BackendRow::new(backend(n), BackendState::Ready) })
         .collect();
     fleet.tell(&rows);
     let all = fleet.play(6 * SEC, 250 * MS);
@@ -282,40 +282,40 @@
     // Danger: a hundred gateways that each put right half a unit took most of what the counter bears.
     let (mut corrected, mut alone) = (0, 0);
     for customer in 0..40 {
-        let config = Config { cost_after: true, ..many(30, 7, Plan::rated("small", 10.0, 20.0)) };
+        let config = Config { billed_on_response: true, ..many(30, 7, Plan::with_rate("small", 10.0, 20.0)) };
         let mut rig = Rig::new(config, 100);
         rig.spread = 30.0;
         // The counter turns one away: calls are short for a while.
         let away = (100..200).find_map(|id| calls(&rig.ask(id, 1_000 + u64::from(id))).first().copied());
-        rig.counted(away.expect("a call").0, Reckoned::NotAdded);
+        rig.counted(away.expect("a call").0, CounterResult::NotAdded);
         for id in 0..2 {
             let mut acts = rig.ask(id, customer);
             for (name, amount) in calls(&acts) {
                 alone += u32::from(amount == 0.5);
-                acts.extend(rig.counted(name, Reckoned::Total(amount)));
+                acts.extend(rig.counted(name, CounterResult::Total(amount)));
             }
             for (id, backend) in sent(&acts) {
                 let (id, attempt, outcome, load) =
-                    (RequestId(id), AttemptIx(0), Outcome::Ok, LoadReport::default());
+                    (RequestId(id), AttemptIndex(0), Outcome::Ok, LoadReport::default());
                 let (elapsed, settled, fleet_use, billed) = (50 * MS, true, None, Some(1.5));
-                rig.ended(Ended {
+                rig.ended(AttemptResult {
                     id,
                     attempt,
                     backend,
                     outcome,
                     elapsed,
-                    settled,
-                    fleet_use,
-                    billed,
+                    request_done: settled,
+                    quota_use: fleet_use,
+                    billed_units: billed,
                     load,
-                    spent: false,
+                    body_consumed: false,
                 });
             }
             corrected += sent(&acts).len();
             for _ in 0..20 {
                 for (name, amount) in calls(&rig.run(100 * MS)) {
                     alone += u32::from(amount == 0.5);
-                    rig.counted(name, Reckoned::Total(amount));
+                    rig.counted(name, CounterResult::Total(amount));
                 }
             }
         }
@@ -329,7 +329,7 @@
     // backend ejected for half a second was back before its next request was due.
     let (mut errors, mut met) = (0, 0);
     for me in 0..20 {
-        let mut rig = Rig::new(many(100, me, Plan::rated("open", 0.0, 0.0)), 60);
+        let mut rig = Rig::new(many(100, me, Plan::with_rate("open", 0.0, 0.0)), 60);
         let mut bad = BTreeSet::new();
         for id in 0..160 {
             for (id, on) in sent(&rig.ask(id, u64::from(id))) {
@@ -365,8 +365,8 @@
 fn calls_go_where_they_decide_something() {
     // Danger: with parts below a request all gateways need calls. Reading the last window beside the present
     // one, and asking for plans whose excess costs nothing, took them from requests decided by the odds.
-    let free = Plan { over_cost: 0.0, ..Plan::rated("free", 5.0, 10.0) };
-    let dear = Plan::rated("dear", 5.0, 10.0);
+    let free = Plan { over_cost: 0.0, ..Plan::with_rate("free", 5.0, 10.0) };
+    let dear = Plan::with_rate("dear", 5.0, 10.0);
     let made = |gateways: u32| {
         let config = Config { plans: vec![free.clone(), dear.clone()], ..many(gateways, 7, dear.clone()) };
         let mut rig = Rig::new(config, 60);
@@ -375,8 +375,8 @@
             let plan = id % 2;
             let mut acts = rig.feed(Event::Request(Arrival {
                 id: RequestId(id),
-                class: ClassIx(0),
-                plan: PlanIx(plan as u16),
+                class: ClassIndex(0),
+                plan: PlanIndex(plan as u16),
                 customer: CustomerId(u64::from(id)),
                 deadline: rig.now + 2 * SEC,
                 units: 1.0,
@@ -384,14 +384,14 @@
                 first_gateway: 0.0,
                 client_repeat: false,
                 write: false,
-                coming: false,
+                body_pending: false,
             }));
             let out = calls(&acts);
             made[plan as usize] += usize::from(!out.is_empty());
             most = most.max(out.len());
             let mut waiting = out;
             while let Some((name, amount)) = waiting.pop() {
-                let more = rig.counted(name, Reckoned::Total(amount + 5.0));
+                let more = rig.counted(name, CounterResult::Total(amount + 5.0));
                 waiting.extend(calls(&more));
                 acts.extend(more);
             }
@@ -412,7 +412,7 @@
     // Danger: each of hundreds makes about one call a second then; one by one, ten answers were needed.
     let mut rig = rig(300, 7, 100);
     let mut next = 0;
-    let mut play = |rig: &mut Rig, seconds: u32, answer: Reckoned| {
+    let mut play = |rig: &mut Rig, seconds: u32, answer: CounterResult| {
         for _ in 0..seconds * 10 {
             next += 1;
             // This one's part holds a request: its counts are synced whatever the counter does.
@@ -432,9 +432,9 @@
         answer_calls(rig, &acts, answer);
         calls(&acts).len()
     };
-    assert!(play(&mut rig, 5, Reckoned::Total(1.0)) > 0, "while the counter is well");
-    assert_eq!(play(&mut rig, 12, Reckoned::NotAdded), 0, "while it is away");
-    assert!(play(&mut rig, 6, Reckoned::Total(1.0)) > 0, "6 s after its return");
+    assert!(play(&mut rig, 5, CounterResult::Total(1.0)) > 0, "while the counter is well");
+    assert_eq!(play(&mut rig, 12, CounterResult::NotAdded), 0, "while it is away");
+    assert!(play(&mut rig, 6, CounterResult::Total(1.0)) > 0, "6 s after its return");
 }
 
 #[test]
@@ -454,12 +454,12 @@
         }
         rig.run(100 * MS);
         let acts = std::mem::take(&mut rig.out);
-        answer_calls(&mut rig, &acts, Reckoned::Total(1.0));
+        answer_calls(&mut rig, &acts, CounterResult::Total(1.0));
         for (id, on) in sent(&acts) {
             rig.end(id, 0, on, if id % 7 == 0 { Outcome::Timeout } else { Outcome::Ok }, 50);
         }
-        let v = rig.gateway.vitals();
-        let kept = [v.customers, v.names, v.requests, v.timers, v.backends];
+        let v = rig.gateway.diagnostics();
+        let kept = [v.customers, v.counter_keys, v.requests, v.timers, v.known_backends];
         most = std::array::from_fn(|i| most[i].max(kept[i]));
     }
     // Ten requests a second, and a customer is forgotten after 16 s: 160 and those of a second between sweeps.
@@ -478,7 +478,7 @@
     // Danger: with most backends cold, the class that may wait longer filled all queues up to its own aim.
     let mut classes = vec![Class::pure("short", 600 * MS, 2 * SEC), Class::pure("long", 1_500 * MS, 5 * SEC)];
     classes[1].worth = 3.0;
-    let config = Config { classes, ..many(300, 7, Plan::rated("open", 0.0, 0.0)) };
+    let config = Config { classes, ..many(300, 7, Plan::with_rate("open", 0.0, 0.0)) };
     let mut rig = Rig::new(config, 16);
     let (mut asked, mut sent_on) = ([0u32; 2], [0u32; 2]);
     let mut out: Vec<(Micros, u32, BackendId)> = Vec::new();
