--- a/src/api.rs
+++ b/src/api.rs
@@ -53,16 +53,16 @@
 /// Whether requests of a class may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated without limit.
+    /// Requests may be repeated without limit.
     Pure,
-    /// Carries an idempotency key: the backends of a group discard repeats for a limited time.
+    /// Requests carry an idempotency key: the backends of a group discard repeats for a limited time.
     Keyed {
         /// The backends that discard each other's repeats.
         group: KeyGroup,
         /// How long they remember a key, from the sending of the first attempt that may have run.
         window: Micros,
     },
-    /// Must never run twice.
+    /// Requests must never run twice.
     Unsafe,
 }
 
@@ -100,10 +100,10 @@
 
 impl Class {
     /// Returns a class of requests that may be repeated, with a worth of 1 and nothing for late responses.
-    pub fn pure(name: &str, aim: Micros, deadline: Micros) -> Self {
+    pub fn pure(name: &str, target_latency: Micros, deadline: Micros) -> Self {
         Class {
             name: name.into(),
-            target_latency: aim,
+            target_latency,
             target_stretch: 0.0,
             deadline,
             worth: 1.0,
@@ -123,7 +123,7 @@
     pub rate: f64,
     /// The capacity of the quota in units; it starts full.
     pub burst: f64,
-    /// The number of concurrent attempts; 0 for no such quota.
+    /// The largest number of concurrent attempts; 0 for no such quota.
     pub max_concurrent: u32,
     /// A factor on the worth of this plan's requests.
     pub price: f64,
@@ -279,7 +279,7 @@
     pub answer_slack: Micros,
     /// How soon a backend that is listed as draining or gone must get no more attempts.
     pub drain_grace: Micros,
-    /// The fraction of its capacity, at the least, that a backend has when it starts.
+    /// The smallest fraction of its capacity that a backend has when it starts, 0 to 1.
     pub cold_capacity: f64,
     /// The time after its start by which a backend has its full capacity.
     pub warm_up: Micros,
@@ -584,7 +584,7 @@
         attempt: AttemptIndex,
         /// The backend.
         backend: BackendId,
-        /// The time since it was sent.
+        /// The time since the attempt was sent.
         elapsed: Micros,
     },
     /// An attempt ended. Exactly one such event follows each [`Action::Send`].
@@ -626,7 +626,7 @@
         backend: BackendId,
         /// How it ended.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The time since the probe was sent.
         elapsed: Micros,
         /// The backend's load report.
         load: LoadReport,
@@ -679,11 +679,11 @@
     NoFreshTotal,
     /// The backends are estimated to be too busy.
     Overloaded,
-    /// There is no backend that it may be sent to.
+    /// There is no backend that the request may be sent to.
     NoBackend,
-    /// It was sent or waited to be sent, and no further attempt is possible.
+    /// The request was sent or waited to be sent, and no further attempt is possible.
     GivenUp,
-    /// Its class or plan does not exist.
+    /// The request's class or plan does not exist.
     Unknown,
 }
 
--- a/src/vitals.rs
+++ b/src/vitals.rs
@@ -56,8 +56,8 @@
 }
 
 impl RefusalCounts {
-    pub(crate) fn count(&mut self, why: RefusalReason) {
-        *match why {
+    pub(crate) fn count(&mut self, reason: RefusalReason) {
+        *match reason {
             RefusalReason::OverQuota => &mut self.over_quota,
             RefusalReason::NoFreshTotal => &mut self.no_fresh_total,
             RefusalReason::Overloaded => &mut self.overloaded,
