--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use settings::parse as parse_settings;
 
-/// The gateways that this process hosts, by instance number. They share no state.
+/// The gateways that this process hosts, by instance number. They share no state with each other.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u32, Gateway>,
@@ -22,15 +22,15 @@
 impl Host {
     /// Handles a batch of `count` records at the time `now` (microseconds) and returns the reply frame.
     /// `body` is the frame without its header. Fails if a record is malformed, has invalid settings, or is
-    /// for an instance that does not run.
+    /// for an instance that does not run. A panic of the decision module is reported in the reply.
     pub fn handle_batch(&mut self, now: u64, count: u32, body: &[u8]) -> Result<Vec<u8>, String> {
         let mut reply = Reply::default();
         let mut actions: Vec<Action> = Vec::new();
         for (instance, record) in wire::decode(count, body)? {
             let event = match record {
-                Record::Born { seed, info } => {
-                    let config = settings::parse(&info)?;
-                    let gateway = Gateway::new(config, seed).map_err(|e| e.to_string())?;
+                Record::Create { seed, settings: text } => {
+                    let config = settings::parse(&text)?;
+                    let gateway = Gateway::new(config, seed).map_err(|error| error.to_string())?;
                     self.instances.insert(instance, gateway);
                     continue;
                 }
@@ -44,17 +44,17 @@
                 return Err(format!("event for instance {instance}, which does not run"));
             };
             actions.clear();
-            let run = || gateway.handle(now, event, &mut actions);
-            match catch_unwind(AssertUnwindSafe(run)) {
-                Ok(()) => actions.iter().for_each(|a| reply.action(instance, a)),
-                Err(cause) => {
-                    let text = cause.downcast_ref::<String>().map(String::as_str);
-                    let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
-                    reply.bug(instance, text.unwrap_or("panic"));
+            let handle = || gateway.handle(now, event, &mut actions);
+            match catch_unwind(AssertUnwindSafe(handle)) {
+                Ok(()) => actions.iter().for_each(|action| reply.action(instance, action)),
+                Err(panic) => {
+                    let message = panic.downcast_ref::<String>().map(String::as_str);
+                    let message = message.or_else(|| panic.downcast_ref::<&str>().copied());
+                    reply.bug(instance, message.unwrap_or("panic"));
                 }
             }
         }
-        Ok(reply.frame())
+        Ok(reply.into_frame())
     }
 
     /// Reads frames and writes the reply to each until the input ends between two frames. Fails if the input
@@ -64,30 +64,32 @@
         let mut header = [0u8; 16];
         let mut body = Vec::new();
         while read_header(&mut input, &mut header)? {
-            let word = |at: usize| -> [u8; 4] { std::array::from_fn(|i| header[at + i]) };
-            let clock = u64::from_le_bytes(std::array::from_fn(|i| header[i]));
-            let (len, count) = (u32::from_le_bytes(word(8)), u32::from_le_bytes(word(12)));
+            let word_at = |offset: usize| -> [u8; 4] { std::array::from_fn(|i| header[offset + i]) };
+            let now = u64::from_le_bytes(std::array::from_fn(|i| header[i]));
+            let (len, count) = (u32::from_le_bytes(word_at(8)), u32::from_le_bytes(word_at(12)));
             let rest = len.checked_sub(4).ok_or("frame shorter than its header")?;
             body.clear();
-            // `take` grows the buffer with the bytes that arrive, so that a false length allocates nothing.
-            let got = (&mut input).take(u64::from(rest)).read_to_end(&mut body);
-            if got.map_err(|e| e.to_string())? != rest as usize {
+            // `take` grows the buffer only with the bytes that arrive, so a false length in the header cannot
+            // allocate memory.
+            let read = (&mut input).take(u64::from(rest)).read_to_end(&mut body);
+            if read.map_err(|e| e.to_string())? != rest as usize {
                 return Err("input ends inside a frame".into());
             }
-            let reply = self.handle_batch(clock, count, &body)?;
+            let reply = self.handle_batch(now, count, &body)?;
             output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| e.to_string())?;
         }
         Ok(())
     }
 }
 
+/// Reads the header of a frame. Returns false if the input ends before it.
 fn read_header(input: &mut impl Read, header: &mut [u8; 16]) -> Result<bool, String> {
-    let mut have = 0;
-    while have < header.len() {
-        match input.read(&mut header[have..]) {
-            Ok(0) if have == 0 => return Ok(false),
+    let mut filled = 0;
+    while filled < header.len() {
+        match input.read(&mut header[filled..]) {
+            Ok(0) if filled == 0 => return Ok(false),
             Ok(0) => return Err("input ends inside a header".into()),
-            Ok(n) => have += n,
+            Ok(n) => filled += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e.to_string()),
         }
--- a/benchlink/src/settings.rs
+++ b/benchlink/src/settings.rs
@@ -1,4 +1,5 @@
-//! Parses the settings text (JSON) of a new instance. Unknown keys are ignored.
+//! Parses the settings (JSON) of a new gateway. Unknown keys are ignored. Names that end in `_us` are times in
+//! microseconds.
 
 use crate::codes;
 use caperwind::{
@@ -7,8 +8,9 @@
 };
 use serde::Deserialize;
 
+/// The settings of a gateway.
 #[derive(Deserialize)]
-struct Info {
+struct Settings {
     balancers: u32,
     me: u32,
     zone: u8,
@@ -29,6 +31,7 @@
     tick_us: u64,
 }
 
+/// A class of requests.
 #[derive(Deserialize)]
 struct ClassInfo {
     name: String,
@@ -48,6 +51,7 @@
     stream: bool,
 }
 
+/// A plan.
 #[derive(Deserialize)]
 struct Tariff {
     name: String,
@@ -68,6 +72,7 @@
     hard_slack: f64,
 }
 
+/// The load reports of backends.
 #[derive(Deserialize, Default)]
 struct LoadInfo {
     #[serde(default)]
@@ -76,6 +81,7 @@
     via: String,
 }
 
+/// The counter, the usage meter and units.
 #[derive(Deserialize)]
 struct Extra {
     #[serde(default)]
@@ -91,6 +97,7 @@
     cost_after: bool,
 }
 
+/// What a gateway may do.
 #[derive(Deserialize)]
 struct Limits {
     #[serde(default)]
@@ -107,6 +114,7 @@
     connect_timeout_us: u64,
 }
 
+/// The times and bounds that a gateway must keep to.
 #[derive(Deserialize)]
 struct Invariants {
     answer_slack_us: u64,
@@ -119,90 +127,91 @@
     tip_after_us: u64,
 }
 
-fn unknown(setting: &str, value: &str) -> String {
+/// Returns the error for a value that a setting does not have.
+fn unknown_value(setting: &str, value: &str) -> String {
     format!("setting {setting}: unknown value {value:?}")
 }
 
-fn class(c: ClassInfo) -> Result<Class, String> {
-    let group = match c.group.as_str() {
+fn class(info: ClassInfo) -> Result<Class, String> {
+    let group = match info.group.as_str() {
         "all" | "" => KeyGroup::All,
         "zone" => KeyGroup::Zone,
         "cell" => KeyGroup::Cell,
-        other => return Err(unknown("classes.group", other)),
+        other => return Err(unknown_value("classes.group", other)),
     };
-    let effect = match c.effect.as_str() {
+    let effect = match info.effect.as_str() {
         "pure" => Effect::Pure,
-        "token" => Effect::Keyed { group, window: c.window_us },
+        "token" => Effect::Keyed { group, window: info.window_us },
         "side_effect" => Effect::Unsafe,
-        other => return Err(unknown("classes.effect", other)),
+        other => return Err(unknown_value("classes.effect", other)),
     };
     Ok(Class {
-        name: c.name,
-        target_latency: c.aim_us,
-        target_stretch: c.aim_stretch,
-        deadline: c.deadline_us,
-        worth: c.worth,
-        late_worth: c.late_worth,
+        name: info.name,
+        target_latency: info.aim_us,
+        target_stretch: info.aim_stretch,
+        deadline: info.deadline_us,
+        worth: info.worth,
+        late_worth: info.late_worth,
         effect,
-        stream: c.stream,
+        stream: info.stream,
     })
 }
 
-fn plan(t: Tariff) -> Plan {
-    let ceiling = Ceiling { rate: t.hard_rate, burst: t.ceiling_burst, slack: t.hard_slack };
+fn plan(tariff: Tariff) -> Plan {
+    let ceiling = Ceiling { rate: tariff.hard_rate, burst: tariff.ceiling_burst, slack: tariff.hard_slack };
     Plan {
-        name: t.name,
-        rate: t.quota_rate,
-        burst: t.peak_units,
-        max_concurrent: t.at_once,
-        price: t.price,
-        over_worth: t.over_worth,
-        over_cost: t.beyond_costs,
-        ceiling: (t.hard_rate != 0.0).then_some(ceiling),
+        name: tariff.name,
+        rate: tariff.quota_rate,
+        burst: tariff.peak_units,
+        max_concurrent: tariff.at_once,
+        price: tariff.price,
+        over_worth: tariff.over_worth,
+        over_cost: tariff.beyond_costs,
+        ceiling: (tariff.hard_rate != 0.0).then_some(ceiling),
     }
 }
 
-/// Parses the settings text (JSON) into a [`Config`]. The error is one line that names the setting with a
-/// missing or unknown value.
+/// Parses settings (JSON) into a [`Config`]. Fails if the text is not JSON, or if a setting is missing or has an
+/// unknown value; the error is one line that names the setting. Ranges are checked by [`Config::validate`].
 pub fn parse(text: &[u8]) -> Result<Config, String> {
-    let info: Info = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
-    let (limits, rules, extra) = (info.policy_limits, info.invariants, info.extra);
-    let discovery = match info.discovery.as_str() {
+    let settings: Settings = serde_json::from_slice(text).map_err(|error| format!("settings: {error}"))?;
+    let (limits, invariants, extra) = (settings.policy_limits, settings.invariants, settings.extra);
+    let discovery = match settings.discovery.as_str() {
         "pushed" => Discovery::Pushed,
-        "on_request" => Discovery::OnRequest { ask_interval: rules.ask_every_us },
-        other => return Err(unknown("discovery", other)),
+        "on_request" => Discovery::OnRequest { ask_interval: invariants.ask_every_us },
+        other => return Err(unknown_value("discovery", other)),
     };
-    let weights = match info.weights.as_str() {
+    let weights = match settings.weights.as_str() {
         "nominal" => WeightKind::Nominal,
         "rough" => WeightKind::Rough,
         "live" => WeightKind::Live,
         "off" | "" => WeightKind::Off,
-        other => return Err(unknown("weights", other)),
+        other => return Err(unknown_value("weights", other)),
     };
-    let load_via = match info.load_info.via.as_str() {
+    let load_report_source = match settings.load_info.via.as_str() {
         "inline" => LoadReportSource::Answers,
         "on_probe" => LoadReportSource::Probes,
         "off" | "" => LoadReportSource::Off,
-        other => return Err(unknown("load_info.via", other)),
+        other => return Err(unknown_value("load_info.via", other)),
     };
     let counter = CounterSettings { timeout: extra.count_limit_us, call_price: extra.call_price };
     Ok(Config {
-        own_index: GatewayIndex(info.me),
-        gateways: info.balancers,
-        zone: ZoneIndex(info.zone),
-        zones: info.zones,
-        machine_kinds: info.kinds,
-        classes: info.classes.into_iter().map(class).collect::<Result<_, _>>()?,
-        plans: info.tariffs.into_iter().map(plan).collect(),
+        own_index: GatewayIndex(settings.me),
+        gateways: settings.balancers,
+        zone: ZoneIndex(settings.zone),
+        zones: settings.zones,
+        machine_kinds: settings.kinds,
+        classes: settings.classes.into_iter().map(class).collect::<Result<_, _>>()?,
+        plans: settings.tariffs.into_iter().map(plan).collect(),
         discovery,
         weights,
-        load_fields: info.load_info.names.iter().map(|n| codes::load_field(n)).collect(),
-        load_report_source: load_via,
+        load_fields: settings.load_info.names.iter().map(|name| codes::load_field(name)).collect(),
+        load_report_source,
         counter: extra.shared_counter.then_some(counter),
         meter_period: extra.use_period_us,
         max_units: extra.units_top,
         billed_on_response: extra.cost_after,
-        tick: info.tick_us,
+        tick: settings.tick_us,
         max_attempts: limits.max_attempts,
         may_cancel: limits.cancel,
         may_probe: limits.probes,
@@ -210,11 +219,11 @@
         send_retry_after: limits.retry_after,
         max_retry_after: limits.max_retry_after_us,
         connect_timeout: limits.connect_timeout_us,
-        answer_slack: rules.answer_slack_us,
-        drain_grace: rules.drain_grace_us,
-        cold_capacity: rules.cold_from,
-        warm_up: rules.warm_up_us,
-        collapse_multiple: rules.fall_multiple,
-        collapse_after: rules.tip_after_us,
+        answer_slack: invariants.answer_slack_us,
+        drain_grace: invariants.drain_grace_us,
+        cold_capacity: invariants.cold_from,
+        warm_up: invariants.warm_up_us,
+        collapse_multiple: invariants.fall_multiple,
+        collapse_after: invariants.tip_after_us,
     })
 }
--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -1,26 +1,27 @@
-//! The wire page's own examples, and what must not pass.
+//! The examples of the wire format's specification, and malformed input.
 
 use caperwind_benchlink::{parse_settings, Host};
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
-    let byte = |p: &[u8]| u8::from_str_radix(std::str::from_utf8(p).unwrap(), 16).unwrap();
+    let byte = |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap();
     digits.chunks_exact(2).map(byte).collect()
 }
 
+/// Returns a record, padded with zeros to `size` bytes.
 fn record(text: &str, size: usize) -> Vec<u8> {
-    let mut r = hex(text);
-    r.resize(size, 0);
-    r
+    let mut record = hex(text);
+    record.resize(size, 0);
+    record
 }
 
-fn frame(clock: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
+fn frame(now: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = records.concat().into_iter().chain(tail.iter().copied()).collect();
-    let mut out = clock.to_le_bytes().to_vec();
-    out.extend((body.len() as u32 + 4).to_le_bytes());
-    out.extend((records.len() as u32).to_le_bytes());
-    out.extend(body);
-    out
+    let mut frame = now.to_le_bytes().to_vec();
+    frame.extend((body.len() as u32 + 4).to_le_bytes());
+    frame.extend((records.len() as u32).to_le_bytes());
+    frame.extend(body);
+    frame
 }
 
 const SETTINGS: &str = r#"{"balancers": 3, "me": 1, "zone": 0, "zones": ["n"], "kinds": ["k"],
@@ -38,6 +39,7 @@
    "name": "prospector", "over_worth": 0.0, "peak_units": 19.0, "price": 1.1, "quota_rate": 4.6}],
  "tick_us": 2000, "unknown": {"x": 1}}"#;
 
+/// A list of two backends, whose rows are [`ENTRIES`] at the start of the tail.
 const LIST: &str = "0101 03000000 02 2900000000000000 00000000 02000000";
 const ENTRIES: &str = "0000 00 00 0000000000000000 01 0a124a07 5b1b 0000803f
     0000 00 01 20145d0000000000 01 0a9011f2 841b 0000c03f";
@@ -47,44 +49,46 @@
     "0401 03000000 4d000000 00 0a124a07 5b1b 0000 44480000 01 5600 0300 02 00004040 0000e040";
 const RECKONED: &str = "0a01 03000000 90f6890000000000 0000 00001842 66080000";
 
-fn born(tail_at: u32) -> (Vec<u8>, Vec<u8>) {
-    let mut r = hex("0001 03000000 0700000000000000");
-    r.extend(tail_at.to_le_bytes());
-    r.extend((SETTINGS.len() as u32).to_le_bytes());
-    r.resize(48, 0);
-    (r, SETTINGS.as_bytes().to_vec())
+/// Returns the record that creates the gateway, and its settings, which are at `tail_offset`.
+fn create(tail_offset: u32) -> (Vec<u8>, Vec<u8>) {
+    let mut record = hex("0001 03000000 0700000000000000");
+    record.extend(tail_offset.to_le_bytes());
+    record.extend((SETTINGS.len() as u32).to_le_bytes());
+    record.resize(48, 0);
+    (record, SETTINGS.as_bytes().to_vec())
 }
 
 fn serve(input: &[u8]) -> (Result<(), String>, Vec<u8>) {
-    let mut out = Vec::new();
-    (Host::default().serve(input, &mut out), out)
+    let mut output = Vec::new();
+    (Host::default().serve(input, &mut output), output)
 }
 
+/// Returns a frame that creates the gateway, lists its backends and then has these records.
 fn started(more: &[&str]) -> Vec<u8> {
     let tail = hex(ENTRIES);
-    let (birth, info) = born(tail.len() as u32);
-    let mut records = vec![birth, record(LIST, 48)];
-    records.extend(more.iter().map(|t| record(t, 48)));
-    frame(8_412_250, &records, &[tail, info].concat())
+    let (create_record, settings) = create(tail.len() as u32);
+    let mut records = vec![create_record, record(LIST, 48)];
+    records.extend(more.iter().map(|text| record(text, 48)));
+    frame(8_412_250, &records, &[tail, settings].concat())
 }
 
 #[test]
 fn an_empty_batch_gets_an_empty_reply() {
-    let (result, out) = serve(&hex("5a5c800000000000 04000000 00000000"));
+    let (result, output) = serve(&hex("5a5c800000000000 04000000 00000000"));
     assert!(result.is_ok());
-    assert_eq!(out, hex("04000000 00000000"));
+    assert_eq!(output, hex("04000000 00000000"));
 }
 
 #[test]
 fn the_examples_are_read_and_a_request_is_sent_on() {
-    let (result, out) = serve(&started(&[INCOMING, ATTEMPT_END, RECKONED]));
+    let (result, output) = serve(&started(&[INCOMING, ATTEMPT_END, RECKONED]));
     assert_eq!(result, Ok(()));
-    let count = u32::from_le_bytes(out[4..8].try_into().unwrap()) as usize;
-    let records: Vec<&[u8]> = out[8..8 + 24 * count].chunks_exact(24).collect();
-    let tries: Vec<_> = records.iter().filter(|r| r[..2] == [0x40, 0x01]).collect();
+    let count = u32::from_le_bytes(output[4..8].try_into().unwrap()) as usize;
+    let records: Vec<&[u8]> = output[8..8 + 24 * count].chunks_exact(24).collect();
+    let tries: Vec<_> = records.iter().filter(|record| record[..2] == [0x40, 0x01]).collect();
     assert_eq!(tries.len(), 1);
     assert_eq!(tries[0][2..6], hex("03000000"), "the instance");
-    assert_eq!(tries[0][6..10], hex("c4913a5d"), "the ticket comes back untouched");
+    assert_eq!(tries[0][6..10], hex("c4913a5d"), "the request's id is returned unchanged");
     let to = &tries[0][10..16];
     assert!(to == hex("0a124a07 5b1b") || to == hex("0a9011f2 841b"), "a listed backend");
 }
@@ -94,11 +98,11 @@
     let whole = started(&[INCOMING]);
     for cut in [1, 15, 17, whole.len() - 1] {
         let (result, _) = serve(&whole[..cut]);
-        let why = result.expect_err("cut short");
-        assert!(!why.is_empty() && !why.contains('\n'));
+        let error = result.expect_err("cut short");
+        assert!(!error.is_empty() && !error.contains('\n'));
     }
     let huge = hex("0000000000000000 ffffffff ffffffff");
-    assert!(serve(&huge).0.is_err(), "a false length is no allocation");
+    assert!(serve(&huge).0.is_err(), "a false length allocates nothing");
     assert!(serve(&hex("0000000000000000 04000000 05000000")).0.is_err(), "more records than bytes");
     assert!(serve(&hex("0000000000000000 00000000 00000000")).0.is_err(), "shorter than its header");
     assert!(serve(&frame(0, &[record("9999 03000000", 48)], &[])).0.is_err(), "unknown code");
@@ -112,13 +116,13 @@
     assert_eq!(parse_settings(SETTINGS.as_bytes()).unwrap().plans[0].rate, 4.6);
     let without = SETTINGS.replace("\"quota_rate\": 4.6", "\"x\": 1");
     assert!(parse_settings(without.as_bytes()).unwrap_err().contains("quota_rate"));
-    let odd = SETTINGS.replace("\"effect\": \"pure\"", "\"effect\": \"maybe\"");
-    assert!(parse_settings(odd.as_bytes()).unwrap_err().contains("effect"));
+    let invalid = SETTINGS.replace("\"effect\": \"pure\"", "\"effect\": \"maybe\"");
+    assert!(parse_settings(invalid.as_bytes()).unwrap_err().contains("effect"));
     let negative = SETTINGS.replace("\"quota_rate\": 4.6", "\"quota_rate\": -4.6");
-    let (birth, info) = (born(0).0, negative.into_bytes());
-    let mut birth = birth;
-    birth[18..22].copy_from_slice(&(info.len() as u32).to_le_bytes());
-    let (result, _) = serve(&frame(0, &[birth], &info));
+    let (create_record, settings) = (create(0).0, negative.into_bytes());
+    let mut create_record = create_record;
+    create_record[18..22].copy_from_slice(&(settings.len() as u32).to_le_bytes());
+    let (result, _) = serve(&frame(0, &[create_record], &settings));
     assert!(result.unwrap_err().contains("prospector"));
 }
 
