--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,100 +1,116 @@
-//! Quotas hold for the fleet: several gateways, one counter and a clock that the test moves. What goes on beyond a
-//! quota stays small whatever the counter does, and customers with room get it.
+//! Tests the quotas over a whole fleet: several gateways, one counter and a clock that the test moves. Few
+//! requests pass beyond a quota whatever the counter does, and customers that keep within their quotas are
+//! served.
 
 mod common;
 use caperwind::*;
 use common::*;
 use std::collections::{BTreeMap, HashMap};
 
+/// The time step of the simulation.
 const STEP: Micros = 5 * MS;
 const GATEWAYS: usize = 4;
+/// The rate of the plan in units per second.
 const RATE: f64 = 4.0;
+/// The burst of the plan in units.
 const BURST: f64 = 12.0;
 
-/// What the counter does.
+/// How the counter behaves.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Answers {
-    Soon,
-    /// Past the time-out, all of them.
+enum CounterBehavior {
+    /// All calls are answered in time.
+    InTime,
+    /// All calls are answered after the time-out.
     Late,
-    /// All numbers are forgotten at once, in the middle.
-    Empty,
+    /// All calls are answered in time, but half-way through the counter loses all totals at once.
+    LosesTotals,
 }
 
-/// A customer's store as its quota has it, and what came of its tries.
+/// A customer's quota and the results of its requests.
 #[derive(Clone)]
 struct Account {
-    store: f64,
-    inside: f64,
+    /// The units left in a token bucket that sees all requests sent to backends.
+    tokens_left: f64,
+    /// The requests sent within the quota.
+    within: f64,
+    /// The requests sent beyond the quota.
     beyond: f64,
-    /// What one that saw all tries would have let in.
+    /// The requests that a single token bucket which sees all of them would admit.
     ideal: f64,
 }
 
+/// Gateways with one shared counter. Backends serve each attempt in 20 ms.
 struct Fleet {
-    rigs: Vec<Rig>,
-    numbers: HashMap<CounterKey, f64>,
-    /// What is on its way to a gateway.
+    harnesses: Vec<Harness>,
+    /// The totals on the counter.
+    totals: HashMap<CounterKey, f64>,
+    /// Events to deliver: time and sequence number, gateway and event.
     due: BTreeMap<(Micros, u64), (usize, Event)>,
     sequence: u64,
-    answers: Answers,
+    counter: CounterBehavior,
+    /// The accounts by customer.
     accounts: HashMap<u64, Account>,
+    /// The customers by request id.
     customers: HashMap<u32, u64>,
 }
 
 impl Fleet {
-    fn new(answers: Answers) -> Self {
+    fn new(counter: CounterBehavior) -> Self {
         let plan = Plan { over_cost: 0.6, ..Plan::with_rate("plan", RATE, BURST) };
-        let of = |me| Config {
-            own_index: GatewayIndex(me),
+        let config_of = |index| Config {
+            own_index: GatewayIndex(index),
             gateways: GATEWAYS as u32,
             plans: vec![plan.clone()],
             ..config()
         };
-        let rigs = (0..GATEWAYS).map(|me| {
-            let mut rig = Rig::new(of(me as u32), 8);
-            rig.spread = GATEWAYS as f64;
-            rig
+        let harnesses = (0..GATEWAYS).map(|index| {
+            let mut harness = Harness::new(config_of(index as u32), 8);
+            harness.spread = GATEWAYS as f64;
+            harness
         });
         Fleet {
-            rigs: rigs.collect(),
-            numbers: HashMap::new(),
+            harnesses: harnesses.collect(),
+            totals: HashMap::new(),
             due: BTreeMap::new(),
             sequence: 0,
-            answers,
+            counter,
             accounts: HashMap::new(),
             customers: HashMap::new(),
         }
     }
 
-    fn later(&mut self, at: Micros, gateway: usize, event: Event) {
+    /// Delivers an event to a gateway at the time `at`.
+    fn schedule(&mut self, at: Micros, gateway: usize, event: Event) {
         self.sequence += 1;
         self.due.insert((at, self.sequence), (gateway, event));
     }
 
-    fn carry_out(&mut self, gateway: usize, acts: Vec<Action>) {
-        let now = self.rigs[gateway].now;
-        for act in acts {
-            match act {
-                Action::CallCounter { key: name, amount, .. } => {
-                    let total = self.numbers.entry(name).or_default();
+    /// Carries out the actions of a gateway.
+    fn execute(&mut self, gateway: usize, actions: Vec<Action>) {
+        let now = self.harnesses[gateway].now;
+        for action in actions {
+            match action {
+                Action::CallCounter { key, amount, .. } => {
+                    let total = self.totals.entry(key).or_default();
                     *total += amount;
                     let total = CounterResult::Total(*total);
-                    if self.answers == Answers::Late {
+                    if self.counter == CounterBehavior::Late {
                         let result = CounterResult::Overdue;
-                        let overdue = Event::CounterCallEnded { key: name, result, elapsed: 50 * MS };
-                        self.later(now + 50 * MS, gateway, overdue);
-                        let late = Event::OverdueCallEnded { key: name, amount, result: total };
-                        self.later(now + 70 * MS, gateway, late);
+                        let overdue = Event::CounterCallEnded { key, result, elapsed: 50 * MS };
+                        self.schedule(now + 50 * MS, gateway, overdue);
+                        let late = Event::OverdueCallEnded { key, amount, result: total };
+                        self.schedule(now + 70 * MS, gateway, late);
                     } else {
-                        let told = Event::CounterCallEnded { key: name, result: total, elapsed: 4 * MS };
-                        self.later(now + 4 * MS, gateway, told);
+                        let answered = Event::CounterCallEnded { key, result: total, elapsed: 4 * MS };
+                        self.schedule(now + 4 * MS, gateway, answered);
                     }
                 }
                 Action::Send { id, backend, .. } => {
-                    let account = self.accounts.get_mut(&self.customers[&id.0]).expect("an account");
-                    if account.store >= 1.0 {
-                        (account.store, account.inside) = (account.store - 1.0, account.inside + 1.0);
+                    let account =
+                        self.accounts.get_mut(&self.customers[&id.0]).expect("every customer has an account");
+                    if account.tokens_left >= 1.0 {
+                        (account.tokens_left, account.within) =
+                            (account.tokens_left - 1.0, account.within + 1.0);
                     } else {
                         account.beyond += 1.0;
                     }
@@ -110,54 +126,56 @@
                         load: LoadReport::default(),
                         body_consumed: false,
                     };
-                    self.later(now + 20 * MS, gateway, Event::AttemptEnded(ended));
+                    self.schedule(now + 20 * MS, gateway, Event::AttemptEnded(ended));
                 }
                 _ => {}
             }
         }
     }
 
-    /// Plays so long; each customer asks so many times its rate, through its gateways in turn but unevenly.
-    fn play(&mut self, span: Micros, asks: &[f64]) {
-        let (mut id, mut owed) = (0, vec![0.0; asks.len()]);
-        let mut free = vec![BURST; asks.len()];
+    /// Runs the fleet for `span`. Customer n sends `rate_factors[n]` times its quota's rate, through its
+    /// gateways in turn but unevenly.
+    fn run(&mut self, span: Micros, rate_factors: &[f64]) {
+        let (mut id, mut requests_due) = (0, vec![0.0; rate_factors.len()]);
+        let mut ideal_tokens = vec![BURST; rate_factors.len()];
         for step in 0..span / STEP {
-            if self.answers == Answers::Empty && step * STEP == span / 2 {
-                self.numbers.clear();
+            if self.counter == CounterBehavior::LosesTotals && step * STEP == span / 2 {
+                self.totals.clear();
             }
             for gateway in 0..GATEWAYS {
-                let now = self.rigs[gateway].now;
-                let come: Vec<_> = self.due.range(..=(now, u64::MAX)).map(|(k, v)| (*k, v.0)).collect();
-                for key in come.iter().filter(|c| c.1 == gateway).map(|c| c.0) {
+                let now = self.harnesses[gateway].now;
+                let arriving: Vec<_> = self.due.range(..=(now, u64::MAX)).map(|(k, v)| (*k, v.0)).collect();
+                for key in arriving.iter().filter(|c| c.1 == gateway).map(|c| c.0) {
                     let (_, event) = self.due.remove(&key).expect("it is due");
-                    let acts = self.rigs[gateway].feed(event);
-                    self.carry_out(gateway, acts);
+                    let actions = self.harnesses[gateway].feed(event);
+                    self.execute(gateway, actions);
                 }
-                let acts = self.rigs[gateway].run(STEP);
-                self.carry_out(gateway, acts);
+                let actions = self.harnesses[gateway].advance(STEP);
+                self.execute(gateway, actions);
             }
-            for (n, times) in asks.iter().enumerate() {
+            for (customer, rate_factor) in rate_factors.iter().enumerate() {
                 let gained = RATE * STEP as f64 / SEC as f64;
-                let account = self.accounts.entry(n as u64).or_insert(Account {
-                    store: BURST,
-                    inside: 0.0,
+                let account = self.accounts.entry(customer as u64).or_insert(Account {
+                    tokens_left: BURST,
+                    within: 0.0,
                     beyond: 0.0,
                     ideal: 0.0,
                 });
-                account.store = (account.store + gained).min(BURST);
-                free[n] = (free[n] + gained).min(BURST);
-                owed[n] += gained * times;
-                if owed[n] >= 1.0 {
-                    owed[n] -= 1.0;
-                    if free[n] >= 1.0 {
-                        (free[n], account.ideal) = (free[n] - 1.0, account.ideal + 1.0);
+                account.tokens_left = (account.tokens_left + gained).min(BURST);
+                ideal_tokens[customer] = (ideal_tokens[customer] + gained).min(BURST);
+                requests_due[customer] += gained * rate_factor;
+                if requests_due[customer] >= 1.0 {
+                    requests_due[customer] -= 1.0;
+                    if ideal_tokens[customer] >= 1.0 {
+                        (ideal_tokens[customer], account.ideal) =
+                            (ideal_tokens[customer] - 1.0, account.ideal + 1.0);
                     }
                     id += 1;
-                    self.customers.insert(id, n as u64);
-                    // Two in five come through the first.
+                    self.customers.insert(id, customer as u64);
+                    // Two in five requests come through the first gateway.
                     let gateway = [0, 1, 0, 2, 3][id as usize % 5];
-                    let acts = self.rigs[gateway].ask(id, n as u64);
-                    self.carry_out(gateway, acts);
+                    let actions = self.harnesses[gateway].request(id, customer as u64);
+                    self.execute(gateway, actions);
                 }
             }
         }
@@ -166,26 +184,35 @@
 
 #[test]
 fn what_goes_on_beyond_quotas_stays_small_and_room_is_used() {
-    // Half of the quota, nearly all, and far more.
-    let asks = [0.5, 0.5, 0.8, 0.95, 3.0, 7.0];
-    for answers in [Answers::Soon, Answers::Late, Answers::Empty] {
-        let mut fleet = Fleet::new(answers);
-        fleet.play(40 * SEC, &asks);
-        let all: Vec<Account> = (0..asks.len()).map(|n| fleet.accounts[&(n as u64)].clone()).collect();
-        let sum = |of: fn(&Account) -> f64| all.iter().map(of).sum::<f64>();
-        let (beyond, inside) = (sum(|a| a.beyond) / sum(|a| a.ideal), sum(|a| a.inside) / sum(|a| a.ideal));
-        let told = format!("{answers:?}: beyond {beyond:.3}, inside {inside:.3} of what might be");
-        eprintln!("{told}");
-        for (account, times) in all.iter().zip(asks) {
+    // Half of the quota, nearly all of it, and far more.
+    let rate_factors = [0.5, 0.5, 0.8, 0.95, 3.0, 7.0];
+    for counter in [CounterBehavior::InTime, CounterBehavior::Late, CounterBehavior::LosesTotals] {
+        let mut fleet = Fleet::new(counter);
+        fleet.run(40 * SEC, &rate_factors);
+        let accounts: Vec<Account> =
+            (0..rate_factors.len()).map(|n| fleet.accounts[&(n as u64)].clone()).collect();
+        let sum = |field: fn(&Account) -> f64| accounts.iter().map(field).sum::<f64>();
+        let (beyond, within) = (sum(|a| a.beyond) / sum(|a| a.ideal), sum(|a| a.within) / sum(|a| a.ideal));
+        let summary = format!(
+            "counter {counter:?}: beyond quotas {beyond:.3}, within them {within:.3} of the ideal number of requests"
+        );
+        eprintln!("{summary}");
+        for (account, rate_factor) in accounts.iter().zip(rate_factors) {
             eprintln!(
-                "  {times}: {:.0} beyond, {:.0} of {:.0}",
-                account.beyond, account.inside, account.ideal
+                "  {rate_factor} times the rate: {:.0} beyond the quota, {:.0} of {:.0} within it",
+                account.beyond, account.within, account.ideal
             );
         }
-        // What goes on beyond costs 0.6 of its worth.
-        assert!(beyond * 0.6 <= 0.1, "{told}");
-        assert!(inside >= 0.9, "{told}");
-        let calm = all.iter().zip(asks).filter(|(_, times)| *times <= 0.8);
-        calm.for_each(|(a, times)| assert!(a.inside >= 0.95 * a.ideal, "{answers:?} {times}: {}", a.inside));
+        // A request beyond its quota costs 0.6 of its worth.
+        assert!(beyond * 0.6 <= 0.1, "{summary}");
+        assert!(within >= 0.9, "{summary}");
+        let within_quota = accounts.iter().zip(rate_factors).filter(|(_, rate_factor)| *rate_factor <= 0.8);
+        within_quota.for_each(|(a, rate_factor)| {
+            assert!(
+                a.within >= 0.95 * a.ideal,
+                "counter {counter:?}, {rate_factor} times the rate: {} requests within the quota",
+                a.within
+            )
+        });
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,7 @@
-//! The five rules, each with tests of its own.
+//! Tests of the five rules that a gateway must never break: (1) each request gets one final answer in time;
+//! (2) a request that must not run twice is not sent again once it may have run; (3) backends that are
+//! draining, gone or disabled get no new requests; (4) cold backends are not overloaded; (5) a plan's hard
+//! ceiling is not exceeded. Tests of related behavior have no number.
 
 mod common;
 use caperwind::*;
@@ -6,291 +9,317 @@
 
 #[test]
 fn rule_1_a_silent_backend_still_gets_its_client_one_answer() {
-    let mut rig = Rig::new(config(), 3);
-    let first = sent(&rig.ask(1, 5));
+    let mut harness = Harness::new(config(), 3);
+    let first = sent(&harness.request(1, 5));
     assert_eq!(first.len(), 1);
-    let done = rig.run(3 * SEC);
-    assert_eq!(answers(&done).len(), 1, "one final answer at the deadline");
-    let late = rig.end(1, 0, first[0].1, Outcome::Timeout, 2000);
-    assert!(answers(&late).is_empty() && sent(&late).is_empty(), "nothing after the answer");
+    let actions = harness.advance(3 * SEC);
+    assert_eq!(final_answers(&actions).len(), 1, "one final answer at the deadline");
+    let late = harness.end_attempt(1, 0, first[0].1, Outcome::Timeout, 2000);
+    assert!(final_answers(&late).is_empty() && sent(&late).is_empty(), "nothing after the answer");
 }
 
 #[test]
 fn rule_1_a_request_held_for_the_counter_is_answered_before_its_deadline() {
-    let mut rig = Rig::new(config(), 3);
-    // Part of 8 / 2 units is spent by the first four; the fifth waits for a fresh total.
-    let mut acts = Vec::new();
+    let mut harness = Harness::new(config(), 3);
+    // The first four requests use up this gateway's share of 8 / 2 units; the fifth waits for a fresh total.
+    let mut actions = Vec::new();
     for id in 1..=5 {
-        acts.extend(rig.ask(id, 5));
+        actions.extend(harness.request(id, 5));
     }
-    assert_eq!(sent(&acts).len(), 4);
-    assert!(answers(&acts).is_empty(), "the fifth is held");
-    let done = rig.run(3 * SEC);
-    assert!(answers(&done).iter().any(|a| a.0 == 5), "the counter never answered, the gateway did");
+    assert_eq!(sent(&actions).len(), 4);
+    assert!(final_answers(&actions).is_empty(), "the fifth is held");
+    let later = harness.advance(3 * SEC);
+    assert!(
+        final_answers(&later).iter().any(|answer| answer.0 == 5),
+        "the gateway answers although the counter did not"
+    );
 }
 
 #[test]
 fn rule_1_an_id_the_client_left_gets_no_further_attempt() {
-    let mut rig = Rig::new(config(), 3);
-    let first = sent(&rig.ask(1, 5))[0].1;
-    rig.feed(Event::ClientGone { id: RequestId(1) });
-    let after = rig.end(1, 0, first, Outcome::ConnectFailed, 5);
-    assert!(sent(&after).is_empty() && answers(&after).is_empty());
+    let mut harness = Harness::new(config(), 3);
+    let first = sent(&harness.request(1, 5))[0].1;
+    harness.feed(Event::ClientGone { id: RequestId(1) });
+    let after = harness.end_attempt(1, 0, first, Outcome::ConnectFailed, 5);
+    assert!(sent(&after).is_empty() && final_answers(&after).is_empty());
 }
 
 #[test]
 fn rule_2_an_unsafe_request_that_may_have_run_is_failed_and_not_resent() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
-        let mut rig = Rig::new(with_effect(Effect::Unsafe), 3);
-        let on = sent(&rig.ask(1, 5))[0].1;
-        let mut acts = rig.end(1, 0, on, outcome, 5);
-        acts.extend(rig.run(3 * SEC));
-        assert!(sent(&acts).is_empty(), "{outcome:?} must not be sent again");
-        assert_eq!(answers(&acts), vec![(1, false)], "{outcome:?} is a failure, not a refusal");
+        let mut harness = Harness::new(with_effect(Effect::Unsafe), 3);
+        let backend = sent(&harness.request(1, 5))[0].1;
+        let mut actions = harness.end_attempt(1, 0, backend, outcome, 5);
+        actions.extend(harness.advance(3 * SEC));
+        assert!(sent(&actions).is_empty(), "{outcome:?} must not be sent again");
+        assert_eq!(final_answers(&actions), vec![(1, false)], "{outcome:?} is a failure, not a refusal");
     }
 }
 
 #[test]
 fn rule_2_an_unsafe_request_that_never_ran_goes_elsewhere_at_once() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut rig = Rig::new(with_effect(Effect::Unsafe), 3);
-        let on = sent(&rig.ask(1, 5))[0].1;
-        let again = sent(&rig.end(1, 0, on, outcome, 5));
-        assert!(again.len() == 1 && again[0].1 != on);
+        let mut harness = Harness::new(with_effect(Effect::Unsafe), 3);
+        let backend = sent(&harness.request(1, 5))[0].1;
+        let again = sent(&harness.end_attempt(1, 0, backend, outcome, 5));
+        assert!(again.len() == 1 && again[0].1 != backend);
     }
 }
 
 #[test]
 fn rule_2_a_keyed_request_stays_in_its_group_and_window() {
-    let group_of = |group| with_effect(Effect::Keyed { group, window: SEC });
-    for (group, others) in [(KeyGroup::Cell, 0), (KeyGroup::Zone, 0), (KeyGroup::All, 1)] {
-        let mut rig = Rig::new(group_of(group), 1);
-        let on = sent(&rig.ask(1, 5))[0].1;
-        let far = BackendRow {
+    let config_with = |group| with_effect(Effect::Keyed { group, window: SEC });
+    for (group, expected) in [(KeyGroup::Cell, 0), (KeyGroup::Zone, 0), (KeyGroup::All, 1)] {
+        let mut harness = Harness::new(config_with(group), 1);
+        let backend = sent(&harness.request(1, 5))[0].1;
+        let elsewhere = BackendRow {
             cell: CellIndex(9),
             zone: ZoneIndex(9),
-            ..BackendRow::new(backend(7), BackendState::Ready)
+            ..BackendRow::new(backend_id(7), BackendState::Ready)
         };
-        rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![far] });
-        assert_eq!(sent(&rig.end(1, 0, on, Outcome::Error, 5)).len(), others, "{group:?}");
-        let mut late = Rig::new(group_of(group), 3);
-        let on = sent(&late.ask(1, 5))[0].1;
+        harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![elsewhere] });
+        assert_eq!(sent(&harness.end_attempt(1, 0, backend, Outcome::Error, 5)).len(), expected, "{group:?}");
+        let mut late = Harness::new(config_with(group), 3);
+        let backend = sent(&late.request(1, 5))[0].1;
         late.now += SEC;
-        assert!(sent(&late.end(1, 0, on, Outcome::Error, 1000)).is_empty(), "{group:?} past its window");
+        assert!(
+            sent(&late.end_attempt(1, 0, backend, Outcome::Error, 1000)).is_empty(),
+            "{group:?} past its window"
+        );
     }
 }
 
 #[test]
 fn rule_2_a_keyed_request_of_a_cell_that_may_have_run_is_not_refused() {
-    let mut rig = Rig::new(with_effect(Effect::Keyed { group: KeyGroup::Cell, window: SEC }), 1);
-    let on = sent(&rig.ask(1, 5))[0].1;
-    assert_eq!(answers(&rig.end(1, 0, on, Outcome::Reset, 5)), vec![(1, false)]);
+    let mut harness = Harness::new(with_effect(Effect::Keyed { group: KeyGroup::Cell, window: SEC }), 1);
+    let backend = sent(&harness.request(1, 5))[0].1;
+    assert_eq!(final_answers(&harness.end_attempt(1, 0, backend, Outcome::Reset, 5)), vec![(1, false)]);
 }
 
 #[test]
 fn rule_2_without_second_copies_two_attempts_are_never_out_together() {
-    let mut rig = Rig::new(Config { hedging: false, ..config() }, 4);
-    assert_eq!(sent(&rig.ask(1, 5)).len(), 1);
-    assert!(sent(&rig.run(3 * SEC)).is_empty(), "the only attempt is still out");
+    let mut harness = Harness::new(Config { hedging: false, ..config() }, 4);
+    assert_eq!(sent(&harness.request(1, 5)).len(), 1);
+    assert!(sent(&harness.advance(3 * SEC)).is_empty(), "the only attempt is still out");
 }
 
 #[test]
 fn rule_3_a_draining_or_gone_backend_gets_nothing_new() {
     for state in [BackendState::Draining, BackendState::Gone] {
-        let mut rig = Rig::new(config(), 2);
-        let rows = vec![BackendRow::new(backend(0), state)];
-        rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
-        rig.now += config().drain_grace + 1;
-        let all: Vec<_> = (0..20).flat_map(|n| rig.ask(n, 100 + u64::from(n))).collect();
-        assert!(sent(&all).len() > 5 && sent(&all).iter().all(|s| s.1 == backend(1)), "{state:?}");
+        let mut harness = Harness::new(config(), 2);
+        let rows = vec![BackendRow::new(backend_id(0), state)];
+        harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
+        harness.now += config().drain_grace + 1;
+        let all: Vec<_> = (0..20).flat_map(|n| harness.request(n, 100 + u64::from(n))).collect();
+        assert!(sent(&all).len() > 5 && sent(&all).iter().all(|s| s.1 == backend_id(1)), "{state:?}");
     }
 }
 
 #[test]
 fn rule_3_a_backend_out_by_hand_gets_nothing_whatever_the_list_says() {
-    let mut rig = Rig::new(config(), 2);
-    let ask = |rig: &mut Rig, from: u32| -> Vec<_> {
-        sent(&(from..from + 20).flat_map(|n| rig.ask(n, 100 + u64::from(n))).collect::<Vec<_>>())
+    let mut harness = Harness::new(config(), 2);
+    let attempts = |harness: &mut Harness, first_id: u32| -> Vec<_> {
+        sent(
+            &(first_id..first_id + 20)
+                .flat_map(|n| harness.request(n, 100 + u64::from(n)))
+                .collect::<Vec<_>>(),
+        )
     };
-    let bar = |rig: &mut Rig, out| rig.feed(Event::BackendDisabled { backend: backend(0), disabled: out });
-    // Twice out is out once.
-    bar(&mut rig, true);
-    bar(&mut rig, true);
-    let started = rig.now;
+    let set_disabled = |harness: &mut Harness, disabled| {
+        harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled })
+    };
+    // Disabling a disabled backend changes nothing.
+    set_disabled(&mut harness, true);
+    set_disabled(&mut harness, true);
+    let started = harness.now;
     for (kind, state) in [(ListKind::Delta, BackendState::Gone), (ListKind::Full, BackendState::Ready)] {
-        let rows = [0, 1].map(|n| BackendRow::new(backend(n), state));
-        let rows = rows.into_iter().filter(|r| state == BackendState::Ready || r.backend == backend(0));
-        let start = |r: &BackendRow| if r.backend == backend(0) { started } else { 0 };
-        let rows = rows.map(|r| BackendRow { started_at: start(&r), ..r }).collect();
-        rig.feed(Event::Backends { kind, version: 2, rows });
-        let all = ask(&mut rig, if kind == ListKind::Delta { 0 } else { 20 });
-        assert!(all.len() > 5 && all.iter().all(|s| s.1 == backend(1)), "{state:?}");
+        let rows = [0, 1].map(|n| BackendRow::new(backend_id(n), state));
+        let rows = rows.into_iter().filter(|r| state == BackendState::Ready || r.backend == backend_id(0));
+        let started_at = |r: &BackendRow| if r.backend == backend_id(0) { started } else { 0 };
+        let rows = rows.map(|r| BackendRow { started_at: started_at(&r), ..r }).collect();
+        harness.feed(Event::Backends { kind, version: 2, rows });
+        let sent_to = attempts(&mut harness, if kind == ListKind::Delta { 0 } else { 20 });
+        assert!(sent_to.len() > 5 && sent_to.iter().all(|s| s.1 == backend_id(1)), "{state:?}");
     }
-    assert_eq!(rig.gateway.diagnostics().skipped_backends, 1);
-    bar(&mut rig, false);
-    assert_eq!(rig.gateway.diagnostics().skipped_backends, 0);
+    assert_eq!(harness.gateway.diagnostics().skipped_backends, 1);
+    set_disabled(&mut harness, false);
+    assert_eq!(harness.gateway.diagnostics().skipped_backends, 0);
 }
 
 #[test]
 fn rule_4_a_backend_put_back_by_hand_is_cold() {
-    let mut rig = Rig::new(config(), 2);
-    let count = |rig: &mut Rig, from: u32| -> [usize; 2] {
-        let all: Vec<_> = (from..from + 40).flat_map(|n| rig.ask(n, 100 + u64::from(n))).collect();
-        [0, 1].map(|n| sent(&all).iter().filter(|s| s.1 == backend(n)).count())
+    let mut harness = Harness::new(config(), 2);
+    let count = |harness: &mut Harness, first_id: u32| -> [usize; 2] {
+        let actions: Vec<_> =
+            (first_id..first_id + 40).flat_map(|n| harness.request(n, 100 + u64::from(n))).collect();
+        [0, 1].map(|n| sent(&actions).iter().filter(|s| s.1 == backend_id(n)).count())
     };
-    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: true });
-    rig.run(4 * SEC);
-    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: false });
-    let [back, other] = count(&mut rig, 0);
-    assert!(2 * back < other, "{back} of {other}");
+    harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled: true });
+    harness.advance(4 * SEC);
+    harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled: false });
+    let [reenabled, other] = count(&mut harness, 0);
+    assert!(2 * reenabled < other, "{reenabled} requests, {other} to the other backend");
 }
 
-/// Guards against a backend that was restarted while it was out, of which the list tells late: believed for a
-/// few seconds only, it was taken to be warm in the middle of its warm-up.
+/// Guards against overloading a backend that was restarted while it was disabled, which the list shows late:
+/// it was taken for cold for a few seconds only, and then for warm in the middle of its warm-up.
 #[test]
 fn rule_4_a_backend_put_back_by_hand_stays_cold_until_the_list_tells_of_its_start() {
-    let mut rig = Rig::new(config(), 2);
-    let serve = |rig: &mut Rig, from: u32| {
-        let mut got = [0, 0];
-        for id in from..from + 100 {
-            for (id, on) in sent(&rig.ask(id, u64::from(id))) {
-                got[usize::from(on.address[3])] += 1;
-                rig.run(10 * MS);
-                rig.end(id, 0, on, Outcome::Ok, 10);
+    let mut harness = Harness::new(config(), 2);
+    let serve = |harness: &mut Harness, first_id: u32| {
+        let mut counts = [0, 0];
+        for id in first_id..first_id + 100 {
+            for (id, backend) in sent(&harness.request(id, u64::from(id))) {
+                counts[usize::from(backend.address[3])] += 1;
+                harness.advance(10 * MS);
+                harness.end_attempt(id, 0, backend, Outcome::Ok, 10);
             }
         }
-        got
+        counts
     };
-    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: true });
-    rig.run(4 * SEC);
-    rig.feed(Event::BackendDisabled { backend: backend(0), disabled: false });
-    // At 0.2 to 0.6 of its capacity, whatever an old list says.
-    for from in 0..3 {
-        let [back, other] = serve(&mut rig, 1_000 * from);
-        assert!(2 * back < other, "{back} of {other} after {from} times 2.5 s");
-        rig.run(1_500 * MS);
-        let rows = [0, 1].map(|n| BackendRow::new(backend(n), BackendState::Ready)).to_vec();
-        rig.feed(Event::Backends { kind: ListKind::Full, version: 2, rows });
+    harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled: true });
+    harness.advance(4 * SEC);
+    harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled: false });
+    // The backend is at 0.2 to 0.6 of its capacity, although a stale list has no start time.
+    for round in 0..3 {
+        let [reenabled, other] = serve(&mut harness, 1_000 * round);
+        assert!(
+            2 * reenabled < other,
+            "{reenabled} requests, {other} to the other backend, after {round} rounds of 2.5 s"
+        );
+        harness.advance(1_500 * MS);
+        let rows = [0, 1].map(|n| BackendRow::new(backend_id(n), BackendState::Ready)).to_vec();
+        harness.feed(Event::Backends { kind: ListKind::Full, version: 2, rows });
     }
-    let started = rig.now - config().warm_up + MS;
-    let row = BackendRow { started_at: started, ..BackendRow::new(backend(0), BackendState::Ready) };
-    rig.feed(Event::Backends { kind: ListKind::Delta, version: 3, rows: vec![row] });
-    let [back, other] = serve(&mut rig, 5_000);
-    assert!(3 * back > other, "{back} of {other} once it is known to be warm");
+    let started = harness.now - config().warm_up + MS;
+    let row = BackendRow { started_at: started, ..BackendRow::new(backend_id(0), BackendState::Ready) };
+    harness.feed(Event::Backends { kind: ListKind::Delta, version: 3, rows: vec![row] });
+    let [reenabled, other] = serve(&mut harness, 5_000);
+    assert!(
+        3 * reenabled > other,
+        "{reenabled} requests, {other} to the other backend, once it is known to be warm"
+    );
 }
 
 #[test]
 fn a_drain_is_kept_until_it_ends() {
-    let mut rig = Rig::new(config(), 1);
+    let mut harness = Harness::new(config(), 1);
     for on in [true, true, false] {
-        rig.feed(Event::Drain { on });
-        assert_eq!(rig.gateway.draining(), on);
+        harness.feed(Event::Drain { on });
+        assert_eq!(harness.gateway.draining(), on);
     }
 }
 
 #[test]
 fn rule_3_a_backend_absent_from_a_full_list_gets_nothing_new() {
-    let mut rig = Rig::new(config(), 2);
-    let rows = vec![BackendRow::new(backend(1), BackendState::Ready)];
-    rig.feed(Event::Backends { kind: ListKind::Full, version: 2, rows });
-    let all: Vec<_> = (0..20).flat_map(|n| rig.ask(n, 100 + u64::from(n))).collect();
-    assert!(sent(&all).len() > 5 && sent(&all).iter().all(|s| s.1 == backend(1)));
+    let mut harness = Harness::new(config(), 2);
+    let rows = vec![BackendRow::new(backend_id(1), BackendState::Ready)];
+    harness.feed(Event::Backends { kind: ListKind::Full, version: 2, rows });
+    let all: Vec<_> = (0..20).flat_map(|n| harness.request(n, 100 + u64::from(n))).collect();
+    assert!(sent(&all).len() > 5 && sent(&all).iter().all(|s| s.1 == backend_id(1)));
 }
 
 #[test]
 fn rule_3_on_request_discovery_is_asked_well_within_its_time() {
-    let ask_every = 3 * SEC;
-    let mut rig =
-        Rig::new(Config { discovery: Discovery::OnRequest { ask_interval: ask_every }, ..config() }, 2);
+    let ask_interval = 3 * SEC;
+    let mut harness =
+        Harness::new(Config { discovery: Discovery::OnRequest { ask_interval }, ..config() }, 2);
     let asks = |a: &Action| matches!(a, Action::Subscribe { on: true } | Action::FetchList);
-    assert!(rig.out.iter().any(asks), "subscribes at its start");
-    // Danger: a hundred gateways that ask for whole lists beside what they are told keep discovery from telling.
-    assert!(!rig.run(5 * ask_every).iter().any(asks), "what it has subscribed to is told unasked");
+    assert!(harness.actions.iter().any(asks), "it subscribes at its start");
+    // Guards against overloading discovery: a hundred gateways that fetch whole lists besides their
+    // subscriptions kept it from sending the changes.
+    assert!(!harness.advance(5 * ask_interval).iter().any(asks), "a subscription needs no further requests");
     for _ in 0..5 {
-        rig.feed(Event::Backends { kind: ListKind::Failed, version: 0, rows: Vec::new() });
-        assert!(rig.run(ask_every / 2).iter().any(asks), "asks again before it counts as told");
+        harness.feed(Event::Backends { kind: ListKind::Failed, version: 0, rows: Vec::new() });
+        assert!(harness.advance(ask_interval / 2).iter().any(asks), "it asks again within the interval");
     }
 }
 
 #[test]
 fn rule_4_a_cold_backend_gets_its_share_of_the_fall_budget_at_most() {
-    let mut rig = Rig::new(config(), 3);
-    let cold = BackendRow { started_at: rig.now - 1, ..BackendRow::new(backend(9), BackendState::Ready) };
-    rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![cold] });
+    let mut harness = Harness::new(config(), 3);
+    let cold =
+        BackendRow { started_at: harness.now - 1, ..BackendRow::new(backend_id(9), BackendState::Ready) };
+    harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![cold] });
     let (mut to_cold, mut to_warm) = (0, 0);
     for n in 0..100 {
-        let acts = rig.ask(n, 1000 + u64::from(n));
-        for (id, on) in sent(&acts) {
-            if on == backend(9) {
+        let actions = harness.request(n, 1000 + u64::from(n));
+        for (id, backend) in sent(&actions) {
+            if backend == backend_id(9) {
                 to_cold += 1
             } else {
                 to_warm += 1
             }
-            rig.now += MS;
-            rig.end(id, 0, on, Outcome::Full, 1);
+            harness.now += MS;
+            harness.end_attempt(id, 0, backend, Outcome::Full, 1);
         }
     }
-    // Even rejected sends count; with nothing known of capacity one at a time must do.
-    assert!(to_warm >= 20, "the warm ones work: {to_warm}");
-    assert!(to_cold <= 2, "early burst on a cold backend: {to_cold}");
+    // Rejected attempts count, too. While the capacity is unknown, one attempt at a time must be enough.
+    assert!(to_warm >= 20, "{to_warm} attempts to warm backends");
+    assert!(to_cold <= 2, "{to_cold} attempts to a cold backend");
 }
 
-/// Guards against cold backends kept idle beside jammed ones: what they may get goes by what a warm one gets.
+/// Guards against idle cold backends beside overloaded warm ones: the bound for a cold backend follows from
+/// what a warm one gets.
 #[test]
 fn rule_4_many_cold_backends_get_as_much_as_their_warmth_of_a_warm_one() {
-    let mut rig = Rig::new(Config { cold_capacity: 0.5, warm_up: 100 * SEC, ..config() }, 2);
-    let started = rig.now;
-    let cold = |n| BackendRow { started_at: started, ..BackendRow::new(backend(n), BackendState::Ready) };
-    let (mut to, mut out) = ([0.0_f64; 10], std::collections::VecDeque::new());
+    let mut harness = Harness::new(Config { cold_capacity: 0.5, warm_up: 100 * SEC, ..config() }, 2);
+    let started = harness.now;
+    let cold = |n| BackendRow { started_at: started, ..BackendRow::new(backend_id(n), BackendState::Ready) };
+    let (mut counts, mut in_flight) = ([0.0_f64; 10], std::collections::VecDeque::new());
     for n in 0..1_200 {
         if n == 400 {
-            let rows = (4..10).map(|n| BackendRow { started_at: rig.now, ..cold(n) }).collect();
-            rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
+            let rows = (4..10).map(|n| BackendRow { started_at: harness.now, ..cold(n) }).collect();
+            harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
         }
-        for (id, on) in sent(&rig.ask(n, 1000 + u64::from(n))) {
-            to[usize::from(on.address[3])] += f64::from(u8::from(n >= 800));
-            out.push_back((id, on));
+        for (id, backend) in sent(&harness.request(n, 1000 + u64::from(n))) {
+            counts[usize::from(backend.address[3])] += f64::from(u8::from(n >= 800));
+            in_flight.push_back((id, backend));
         }
-        rig.run(5 * MS);
-        // Each takes 60 ms, so that twelve are out.
-        if out.len() > 12 {
-            let (id, on) = out.pop_front().expect("one that is out");
-            rig.end(id, 0, on, Outcome::Ok, 60);
+        harness.advance(5 * MS);
+        // Each attempt takes 60 ms, so that twelve are in flight.
+        if in_flight.len() > 12 {
+            let (id, backend) = in_flight.pop_front().expect("an attempt in flight");
+            harness.end_attempt(id, 0, backend, Outcome::Ok, 60);
         }
     }
-    let mean = |to: &[f64]| to.iter().sum::<f64>() / to.len() as f64;
-    let (warm, cold) = (mean(&to[..2]), mean(&to[4..]));
-    assert!(cold < 0.6 * warm && to.iter().sum::<f64>() > 350.0, "{cold} of {warm}: {to:?}");
+    let mean = |counts: &[f64]| counts.iter().sum::<f64>() / counts.len() as f64;
+    let (warm, cold) = (mean(&counts[..2]), mean(&counts[4..]));
+    assert!(
+        cold < 0.6 * warm && counts.iter().sum::<f64>() > 350.0,
+        "{cold} per cold backend, {warm} per warm one: {counts:?}"
+    );
 }
 
-/// Guards against a backend that answers probes with errors being taken for one that has ended: it comes back
-/// as warm as it was.
+/// Guards against slow-starting a backend that answers probes with errors: its process has not ended, so it
+/// is as warm as before.
 #[test]
 fn a_backend_that_answers_with_errors_does_not_come_back_cold() {
-    let mut rig = Rig::new(config(), 2);
-    let mut n = 0;
-    while rig.gateway.diagnostics().ejected_backends == 0 {
-        n += 1;
-        for (id, on) in sent(&rig.ask(n, 1000 + u64::from(n))) {
-            let outcome = if on == backend(0) { Outcome::Error } else { Outcome::Ok };
-            rig.end(id, 0, on, outcome, 5);
+    let mut harness = Harness::new(config(), 2);
+    let mut id = 0;
+    while harness.gateway.diagnostics().ejected_backends == 0 {
+        id += 1;
+        for (id, backend) in sent(&harness.request(id, 1000 + u64::from(id))) {
+            let outcome = if backend == backend_id(0) { Outcome::Error } else { Outcome::Ok };
+            harness.end_attempt(id, 0, backend, outcome, 5);
         }
     }
-    let probed = |rig: &mut Rig| loop {
-        if rig.run(10 * MS).iter().any(|a| matches!(a, Action::Probe { .. })) {
+    let advance_to_probe = |harness: &mut Harness| loop {
+        if harness.advance(10 * MS).iter().any(|a| matches!(a, Action::Probe { .. })) {
             break;
         }
     };
     for outcome in [Outcome::Error, Outcome::Ok] {
-        probed(&mut rig);
+        advance_to_probe(&mut harness);
         let load = LoadReport::default();
-        rig.feed(Event::Probed { backend: backend(0), outcome, elapsed: MS, load });
+        harness.feed(Event::Probed { backend: backend_id(0), outcome, elapsed: MS, load });
     }
-    let all: Vec<_> = (1..41).flat_map(|i| sent(&rig.ask(n + i, 2000 + u64::from(i)))).collect();
-    let back = all.iter().filter(|s| s.1 == backend(0)).count();
-    assert!(3 * back > all.len(), "{back} of {}", all.len());
+    let all: Vec<_> = (1..41).flat_map(|i| sent(&harness.request(id + i, 2000 + u64::from(i)))).collect();
+    let to_failed = all.iter().filter(|s| s.1 == backend_id(0)).count();
+    assert!(3 * to_failed > all.len(), "{to_failed} of {} requests", all.len());
 }
 
+/// Returns settings of a plan with a hard ceiling: rate in units per second, burst in units.
 fn ceiling(rate: f64, burst: f64) -> Config {
     let ceiling = Some(Ceiling { rate, burst, slack: 1.0 });
     Config { plans: vec![Plan { ceiling, ..Plan::with_rate("capped", 100.0, 200.0) }], ..config() }
@@ -298,31 +327,32 @@
 
 #[test]
 fn rule_5_a_ceiling_is_split_and_never_passed() {
-    let mut rig = Rig::new(ceiling(2.0, 8.0), 3);
-    rig.run(10 * SEC);
-    let mut all = Vec::new();
+    let mut harness = Harness::new(ceiling(2.0, 8.0), 3);
+    harness.advance(10 * SEC);
+    let mut actions = Vec::new();
     for n in 0..50 {
-        all.extend(rig.ask(n, 5));
-        rig.now += 20 * MS;
+        actions.extend(harness.request(n, 5));
+        harness.now += 20 * MS;
     }
-    let taken = sent(&all).len();
-    assert!((3..=5).contains(&taken), "half of 8, and half of 2 a second for a second: {taken}");
+    let passed = sent(&actions).len();
+    assert!((3..=5).contains(&passed), "half of the burst of 8, plus half of 2 units/s for 1 s: {passed}");
 }
 
 #[test]
 fn rule_5_a_restart_does_not_refill_a_ceiling() {
-    let mut rig = Rig::new(ceiling(2.0, 8.0), 3);
-    let at_once: Vec<_> = (0..50).flat_map(|n| rig.ask(n, 5)).collect();
-    assert!(sent(&at_once).is_empty(), "a fresh gateway knows nothing of what was spent before");
+    let mut harness = Harness::new(ceiling(2.0, 8.0), 3);
+    let actions: Vec<_> = (0..50).flat_map(|n| harness.request(n, 5)).collect();
+    assert!(sent(&actions).is_empty(), "a new process does not know what was used before");
 }
 
-/// Guards against a further attempt of what can't be sent again: it never ran, and is refused at once.
+/// Guards against another attempt after a part of the body was forwarded that cannot be sent again: the
+/// request never ran and is refused at once.
 #[test]
 fn rule_2_a_body_that_was_spent_goes_nowhere_else() {
-    for spent in [false, true] {
-        let mut rig = Rig::new(config(), 3);
-        let first = sent(&rig.ask(1, 7))[0].1;
-        let ended = AttemptResult {
+    for body_consumed in [false, true] {
+        let mut harness = Harness::new(config(), 3);
+        let first = sent(&harness.request(1, 7))[0].1;
+        let result = AttemptResult {
             id: RequestId(1),
             attempt: AttemptIndex(0),
             backend: first,
@@ -332,24 +362,27 @@
             quota_use: None,
             billed_units: None,
             load: LoadReport::default(),
-            body_consumed: spent,
+            body_consumed,
         };
-        let acts = rig.ended(ended);
-        assert_eq!((sent(&acts).len(), answers(&acts).len()), if spent { (0, 1) } else { (1, 0) });
+        let actions = harness.attempt_ended(result);
+        assert_eq!(
+            (sent(&actions).len(), final_answers(&actions).len()),
+            if body_consumed { (0, 1) } else { (1, 0) }
+        );
     }
 }
 
-/// Guards against a body that comes slowly being taken for work that waits, and against a time that counts
-/// from before it has come.
+/// Guards against taking a request whose body arrives slowly for queued work, and against a deadline that
+/// starts before the body is complete.
 #[test]
 fn the_time_of_a_body_still_coming_counts_from_its_end() {
-    let mut rig = Rig::new(config(), 3);
+    let mut harness = Harness::new(config(), 3);
     let arrival = Arrival {
         id: RequestId(1),
         class: ClassIndex(0),
         plan: PlanIndex(0),
         customer: CustomerId(7),
-        deadline: rig.now + 100 * SEC,
+        deadline: harness.now + 100 * SEC,
         units: 1.0,
         spread: 2.0,
         first_gateway: 0.0,
@@ -357,38 +390,38 @@
         write: false,
         body_pending: true,
     };
-    assert_eq!(sent(&rig.feed(Event::Request(arrival))).len(), 1);
-    let idle = rig.gateway.diagnostics();
-    assert_eq!((idle.in_flight, idle.stalled), (1, 1), "no work waits with it");
-    assert!(answers(&rig.run(3 * SEC)).is_empty());
-    let deadline = rig.now + SEC;
-    rig.feed(Event::Uploaded { id: RequestId(1), deadline });
-    assert_eq!(rig.gateway.diagnostics().stalled, 0);
-    assert!(answers(&rig.run(SEC - MS)).is_empty());
-    assert_eq!(answers(&rig.run(2 * MS)).len(), 1);
-    rig.feed(Event::Uploaded { id: RequestId(9), deadline });
+    assert_eq!(sent(&harness.feed(Event::Request(arrival))).len(), 1);
+    let diagnostics = harness.gateway.diagnostics();
+    assert_eq!((diagnostics.in_flight, diagnostics.stalled), (1, 1), "no backend works on the request yet");
+    assert!(final_answers(&harness.advance(3 * SEC)).is_empty());
+    let deadline = harness.now + SEC;
+    harness.feed(Event::Uploaded { id: RequestId(1), deadline });
+    assert_eq!(harness.gateway.diagnostics().stalled, 0);
+    assert!(final_answers(&harness.advance(SEC - MS)).is_empty());
+    assert_eq!(final_answers(&harness.advance(2 * MS)).len(), 1);
+    harness.feed(Event::Uploaded { id: RequestId(9), deadline });
 }
 
-/// Guards against a run of failures each time a backend that answers with errors is tried again.
+/// Guards against several failed requests each time a backend that answers with errors is put on trial again.
 #[test]
 fn a_backend_back_from_errors_is_ejected_at_the_next_one() {
-    let mut rig = Rig::new(config(), 2);
-    let mut n = 0;
-    let mut errors = |rig: &mut Rig| {
-        let mut seen = 0;
-        while rig.gateway.diagnostics().ejected_backends == 0 {
-            n += 1;
-            for (id, on) in sent(&rig.ask(n, 1000 + u64::from(n))) {
-                let bad = on == backend(0);
-                seen += u32::from(bad);
-                rig.end(id, 0, on, if bad { Outcome::Error } else { Outcome::Ok }, 5);
+    let mut harness = Harness::new(config(), 2);
+    let mut id = 0;
+    let mut errors_until_ejected = |harness: &mut Harness| {
+        let mut errors = 0;
+        while harness.gateway.diagnostics().ejected_backends == 0 {
+            id += 1;
+            for (id, backend) in sent(&harness.request(id, 1000 + u64::from(id))) {
+                let failing = backend == backend_id(0);
+                errors += u32::from(failing);
+                harness.end_attempt(id, 0, backend, if failing { Outcome::Error } else { Outcome::Ok }, 5);
             }
         }
-        seen
+        errors
     };
-    assert!(errors(&mut rig) > 3);
-    while !rig.run(10 * MS).iter().any(|a| matches!(a, Action::Probe { .. })) {}
+    assert!(errors_until_ejected(&mut harness) > 3);
+    while !harness.advance(10 * MS).iter().any(|a| matches!(a, Action::Probe { .. })) {}
     let (outcome, load) = (Outcome::Ok, LoadReport::default());
-    rig.feed(Event::Probed { backend: backend(0), outcome, elapsed: MS, load });
-    assert_eq!(errors(&mut rig), 1);
+    harness.feed(Event::Probed { backend: backend_id(0), outcome, elapsed: MS, load });
+    assert_eq!(errors_until_ejected(&mut harness), 1);
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,187 +1,206 @@
-//! What only goes wrong with many gateways: each sees a few requests, and one from each is hundreds.
+//! Tests of failures that occur with many gateways only: each gateway sees few requests, and one request from
+//! each of them is hundreds.
 
 mod common;
 use caperwind::*;
 use common::*;
 use std::collections::BTreeSet;
 
-fn many(gateways: u32, me: u32, plan: Plan) -> Config {
-    Config { gateways, own_index: GatewayIndex(me), plans: vec![plan], hedging: false, ..config() }
+/// Returns the settings of gateway `index` of `gateways` with this plan and without hedging.
+fn gateway_config(gateways: u32, index: u32, plan: Plan) -> Config {
+    Config { gateways, own_index: GatewayIndex(index), plans: vec![plan], hedging: false, ..config() }
 }
 
-fn rig(gateways: u32, me: u32, backends: u8) -> Rig {
-    let mut rig = Rig::new(many(gateways, me, Plan::with_rate("small", 1.0, 4.0)), backends);
-    rig.spread = f64::from(gateways);
-    rig
+/// Starts gateway `index` of `gateways`, with a plan of 1 unit/s and a burst of 4 units whose customers use
+/// all gateways.
+fn harness(gateways: u32, index: u32, backends: u8) -> Harness {
+    let mut harness =
+        Harness::new(gateway_config(gateways, index, Plan::with_rate("small", 1.0, 4.0)), backends);
+    harness.spread = f64::from(gateways);
+    harness
 }
 
-/// Answers calls out so far by `answer`, whatever they added.
-fn answer_calls(rig: &mut Rig, acts: &[Action], answer: CounterResult) -> Vec<Action> {
-    calls(acts).into_iter().flat_map(|(name, _)| rig.counted(name, answer)).collect()
+/// Answers each counter call in `actions` with `answer` and returns the resulting actions.
+fn answer_calls(harness: &mut Harness, actions: &[Action], answer: CounterResult) -> Vec<Action> {
+    counter_calls(actions).into_iter().flat_map(|(key, _)| harness.counter_call_ended(key, answer)).collect()
 }
 
 #[test]
 fn a_crowded_counter_gets_fewer_calls_and_customers_still_pass() {
-    // Danger: every try asked, no call was answered, and calm customers were refused for want of a total.
-    let mut rig = rig(300, 7, 100);
+    // Guards against overloading the counter: every request made a call, no call was answered, and customers
+    // within their quotas were refused for lack of a total.
+    let mut harness = harness(300, 7, 100);
     let (mut early, mut late, mut passed) = (0, 0, 0);
     for id in 0..400 {
-        let mut acts = rig.ask(id, 1_000 + u64::from(id));
-        let made = calls(&acts).len();
+        let mut actions = harness.request(id, 1_000 + u64::from(id));
+        let calls = counter_calls(&actions).len();
         if id < 100 {
-            early += made
+            early += calls
         } else if id >= 300 {
-            late += made
+            late += calls
         }
-        let settled = answer_calls(&mut rig, &acts, CounterResult::NotAdded);
-        acts.extend(settled);
-        passed += sent(&acts).len();
-        for (id, on) in sent(&acts) {
-            rig.end(id, 0, on, Outcome::Ok, 50);
+        let later = answer_calls(&mut harness, &actions, CounterResult::NotAdded);
+        actions.extend(later);
+        passed += sent(&actions).len();
+        for (id, backend) in sent(&actions) {
+            harness.end_attempt(id, 0, backend, Outcome::Ok, 50);
         }
-        let more = rig.run(100 * MS);
-        answer_calls(&mut rig, &more, CounterResult::NotAdded);
+        let more = harness.advance(100 * MS);
+        answer_calls(&mut harness, &more, CounterResult::NotAdded);
     }
-    assert!(late * 2 < early.max(2), "calls fall while the counter is crowded: {early} then {late}");
-    assert!(passed > 300, "{passed} of 400 customers not met before");
+    assert!(late * 2 < early.max(2), "fewer calls while the counter is overloaded: {early}, later {late}");
+    assert!(passed > 300, "{passed} of 400 new customers passed");
 }
 
 #[test]
 fn a_customer_that_repeats_is_not_granted_once_per_ask_without_totals() {
-    // Danger: by the odds alone one gateway of hundreds could pass a small quota many times over.
-    let mut rig = rig(300, 7, 100);
+    // Guards against deciding by the probability of being over quota alone: a single gateway of hundreds
+    // could exceed a small quota many times over.
+    let mut harness = harness(300, 7, 100);
     let mut passed = 0;
     for id in 0..100 {
-        let acts = rig.ask(id, 5);
-        let settled = answer_calls(&mut rig, &acts, CounterResult::NotAdded);
-        for (id, on) in sent(&acts).into_iter().chain(sent(&settled)) {
+        let actions = harness.request(id, 5);
+        let later = answer_calls(&mut harness, &actions, CounterResult::NotAdded);
+        for (id, backend) in sent(&actions).into_iter().chain(sent(&later)) {
             passed += 1;
-            rig.end(id, 0, on, Outcome::Ok, 50);
+            harness.end_attempt(id, 0, backend, Outcome::Ok, 50);
         }
-        rig.run(20 * MS);
+        harness.advance(20 * MS);
     }
-    assert!(passed <= 2, "{passed} in half a window from one gateway of 300");
+    assert!(passed <= 2, "{passed} requests passed at one gateway of 300 in half a window");
 }
 
 #[test]
 fn the_meter_tells_who_is_over_where_no_call_can_be_made() {
-    let passes = |used: f64| {
+    let passed_with = |used: f64| {
         let plan = Plan::with_rate("small", 1.0, 4.0);
-        let metered = Config { counter: None, meter_period: SEC, ..many(300, 7, plan) };
-        let mut rig = Rig::new(metered, 100);
-        rig.spread = 300.0;
+        let metered = Config { counter: None, meter_period: SEC, ..gateway_config(300, 7, plan) };
+        let mut harness = Harness::new(metered, 100);
+        harness.spread = 300.0;
         let mut passed = 0;
         for id in 0..20 {
-            for (id, backend) in sent(&rig.ask(id, 5)) {
+            for (id, backend) in sent(&harness.request(id, 5)) {
                 passed += 1;
                 let (attempt, outcome, load) = (AttemptIndex(0), Outcome::Ok, LoadReport::default());
-                let (id, elapsed, settled, billed) = (RequestId(id), 50 * MS, true, None);
-                let fleet_use = Some(used);
-                rig.ended(AttemptResult {
+                let (id, elapsed, request_done, billed_units) = (RequestId(id), 50 * MS, true, None);
+                let quota_use = Some(used);
+                harness.attempt_ended(AttemptResult {
                     id,
                     attempt,
                     backend,
                     outcome,
                     elapsed,
-                    request_done: settled,
-                    quota_use: fleet_use,
-                    billed_units: billed,
+                    request_done,
+                    quota_use,
+                    billed_units,
                     load,
                     body_consumed: false,
                 });
             }
-            rig.run(9 * SEC);
+            harness.advance(9 * SEC);
         }
         passed
     };
-    assert_eq!(passes(f64::NAN), passes(0.2), "a meter of nonsense is passed over");
-    assert!(passes(2.0) < passes(0.2), "a customer metered at twice its rate passes less than a calm one");
+    assert_eq!(passed_with(f64::NAN), passed_with(0.2), "an invalid meter value is ignored");
+    assert!(
+        passed_with(2.0) < passed_with(0.2),
+        "a customer metered at twice its quota passes fewer requests than one at a fifth of it"
+    );
 }
 
 #[test]
 fn all_gateways_together_send_a_cold_backend_less_than_one_each() {
-    // Danger: a floor of one from each of hundreds pushes a cold backend over.
-    let sends = (0..60).map(|me| {
-        let mut rig = Rig::new(many(300, me, Plan::with_rate("open", 0.0, 0.0)), 1);
-        let mut row = BackendRow::new(backend(0), BackendState::Ready);
-        row.started_at = rig.now;
-        rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![row] });
-        sent(&rig.ask(1, 5)).len()
+    // Guards against a collapse: one request from each of hundreds of gateways is more than a cold backend
+    // bears.
+    let sends = (0..60).map(|index| {
+        let mut harness = Harness::new(gateway_config(300, index, Plan::with_rate("open", 0.0, 0.0)), 1);
+        let mut row = BackendRow::new(backend_id(0), BackendState::Ready);
+        row.started_at = harness.now;
+        harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![row] });
+        sent(&harness.request(1, 5)).len()
     });
-    let all: usize = sends.sum();
-    assert!(all < 15, "{all} of 60 gateways send at once to a backend that has just started");
+    let total: usize = sends.sum();
+    assert!(total < 15, "{total} of 60 gateways sent a request at once to a backend that had just started");
 }
 
 #[test]
 fn the_floor_under_refusals_is_taken_in_turns() {
-    // Danger: one out at each of hundreds of gateways is several at every backend, and the jam stays.
-    let lets_in = (0..60).map(|me| {
-        let one_try = Config { max_attempts: 1, ..many(300, me, Plan::with_rate("open", 0.0, 0.0)) };
-        let mut rig = Rig::new(one_try, 15);
+    // Guards against an overload that lasts: one request admitted at each of hundreds of gateways is several
+    // at every backend.
+    let admitted = (0..60).map(|index| {
+        let one_attempt =
+            Config { max_attempts: 1, ..gateway_config(300, index, Plan::with_rate("open", 0.0, 0.0)) };
+        let mut harness = Harness::new(one_attempt, 15);
         for id in 0..40 {
-            for (id, on) in sent(&rig.ask(id, 50 + u64::from(id))) {
-                rig.run(1_900 * MS);
-                rig.end(id, 0, on, Outcome::Timeout, 1_900);
+            for (id, backend) in sent(&harness.request(id, 50 + u64::from(id))) {
+                harness.advance(1_900 * MS);
+                harness.end_attempt(id, 0, backend, Outcome::Timeout, 1_900);
             }
-            rig.run(200 * MS);
+            harness.advance(200 * MS);
         }
-        sent(&rig.ask(100, 999)).len()
+        sent(&harness.request(100, 999)).len()
     });
-    let all: usize = lets_in.sum();
-    assert!(all < 20, "{all} of 60 gateways let one in on a jammed fleet");
+    let total: usize = admitted.sum();
+    assert!(total < 20, "{total} of 60 gateways admitted a request to an overloaded fleet");
 }
 
 #[test]
 fn a_gateway_keeps_to_its_own_subset_of_backends_and_leaves_it_when_it_must() {
-    // Danger: hundreds of gateways connected to every backend fill its connections.
-    let used = |me: u32| {
-        let mut rig = rig(300, me, 100);
-        let mut met = BTreeSet::new();
+    // Guards against exhausting the connections of a backend, to which hundreds of gateways would be
+    // connected.
+    let backends_used_by = |index: u32| {
+        let mut harness = harness(300, index, 100);
+        let mut used = BTreeSet::new();
         for id in 0..300 {
-            for (id, on) in sent(&rig.ask(id, 1_000 + u64::from(id))) {
-                met.insert(on);
-                rig.end(id, 0, on, Outcome::Ok, 20);
+            for (id, backend) in sent(&harness.request(id, 1_000 + u64::from(id))) {
+                used.insert(backend);
+                harness.end_attempt(id, 0, backend, Outcome::Ok, 20);
             }
-            rig.run(10 * MS);
+            harness.advance(10 * MS);
         }
-        met
+        used
     };
-    let (one, other) = (used(3), used(4));
+    let (one, other) = (backends_used_by(3), backends_used_by(4));
     assert!(one.len() < 40 && other.len() < 40, "{} and {}", one.len(), other.len());
     assert_ne!(one, other, "subsets differ, so that all backends are used");
-    let mut rig = rig(300, 3, 100);
+    let mut harness = harness(300, 3, 100);
     let rows = one.iter().map(|b| BackendRow::new(*b, BackendState::Gone)).collect();
-    rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
-    let next = (0..20).flat_map(|id| sent(&rig.ask(id, 2_000 + u64::from(id)))).next();
-    assert!(next.is_some_and(|(_, on)| !one.contains(&on)), "widened when its subset is gone");
+    harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
+    let next = (0..20).flat_map(|id| sent(&harness.request(id, 2_000 + u64::from(id)))).next();
+    assert!(
+        next.is_some_and(|(_, backend)| !one.contains(&backend)),
+        "another backend is used when the subset is gone"
+    );
 }
 
 #[test]
 fn a_full_once_seen_does_not_mark_a_backend_for_good_nor_other_classes() {
-    // Danger: where nothing is reported, backends that once answered `full` were shunned ever after and
-    // the rest jammed; and a `full` that concerns one class alone kept the others away.
+    // Guards against avoiding a backend for ever: without load reports, backends that had answered `full`
+    // once got no more requests and the others were overloaded. A `full` for one class also kept the other
+    // classes away.
     let classes = vec![Class::pure("a", SEC, 2 * SEC), Class::pure("b", SEC, 2 * SEC)];
     let plans = vec![Plan::with_rate("open", 0.0, 0.0), Plan::with_rate("other", 0.0, 0.0)];
-    let mut rig = Rig::new(Config { classes, plans, max_attempts: 2, ..config() }, 2);
+    let mut harness = Harness::new(Config { classes, plans, max_attempts: 2, ..config() }, 2);
     for id in 0..10 {
-        for (id, on) in sent(&rig.ask(id, 5)) {
-            let full = on == backend(0);
-            let acts = rig.end(id, 0, on, if full { Outcome::Full } else { Outcome::Ok }, 10);
-            for (id, on) in sent(&acts) {
-                rig.end(id, 1, on, Outcome::Ok, 10);
+        for (id, backend) in sent(&harness.request(id, 5)) {
+            let full = backend == backend_id(0);
+            let actions =
+                harness.end_attempt(id, 0, backend, if full { Outcome::Full } else { Outcome::Ok }, 10);
+            for (id, backend) in sent(&actions) {
+                harness.end_attempt(id, 1, backend, Outcome::Ok, 10);
             }
         }
-        rig.run(100 * MS);
+        harness.advance(100 * MS);
     }
-    let mut share = |from: u32, class: u16, plan: u16| {
-        let mut met = 0;
-        for id in from..from + 40 {
-            let acts = rig.feed(Event::Request(Arrival {
+    let mut requests_to_full_backend = |first_id: u32, class: u16, plan: u16| {
+        let mut count = 0;
+        for id in first_id..first_id + 40 {
+            let actions = harness.feed(Event::Request(Arrival {
                 id: RequestId(id),
                 class: ClassIndex(class),
                 plan: PlanIndex(plan),
                 customer: CustomerId(u64::from(plan)),
-                deadline: rig.now + 2 * SEC,
+                deadline: harness.now + 2 * SEC,
                 units: 1.0,
                 spread: 2.0,
                 first_gateway: 0.0,
@@ -189,196 +208,223 @@
                 write: false,
                 body_pending: false,
             }));
-            for (id, on) in sent(&acts) {
-                met += usize::from(on == backend(0));
-                rig.end(id, 0, on, Outcome::Ok, 10);
+            for (id, backend) in sent(&actions) {
+                count += usize::from(backend == backend_id(0));
+                harness.end_attempt(id, 0, backend, Outcome::Ok, 10);
             }
-            rig.run(10 * MS);
+            harness.advance(10 * MS);
         }
-        rig.run(60 * SEC);
-        met
+        harness.advance(60 * SEC);
+        count
     };
-    assert!(share(100, 1, 1) > 5, "another class and plan still use it");
-    assert!(share(200, 0, 0) > 5, "and the same one does a minute later");
+    assert!(requests_to_full_backend(100, 1, 1) > 5, "another class and plan still use the backend");
+    assert!(requests_to_full_backend(200, 0, 0) > 5, "the same class and plan use it a minute later");
 }
 
-/// Gateways on one clock. Each takes a request every `every` and ends each attempt after 100 ms.
+/// Gateways on one clock. Each attempt ends after 100 ms.
 struct Fleet {
-    rigs: Vec<Rig>,
+    harnesses: Vec<Harness>,
+    /// The attempts in flight: when each ends, its gateway, request and backend.
     due: Vec<(Micros, usize, u32, BackendId)>,
+    /// The id of the last request.
     next: u32,
 }
 
 impl Fleet {
     fn new(gateways: u32, backends: u8) -> Self {
         let open = Plan::with_rate("open", 0.0, 0.0);
-        let rigs = (0..gateways).map(|me| {
-            let mut rig = Rig::new(many(gateways, me, open.clone()), backends);
-            rig.spread = f64::from(gateways);
-            rig
+        let harnesses = (0..gateways).map(|index| {
+            let mut harness = Harness::new(gateway_config(gateways, index, open.clone()), backends);
+            harness.spread = f64::from(gateways);
+            harness
         });
-        Fleet { rigs: rigs.collect(), due: Vec::new(), next: 0 }
+        Fleet { harnesses: harnesses.collect(), due: Vec::new(), next: 0 }
     }
 
-    fn tell(&mut self, rows: &[BackendRow]) {
-        for rig in &mut self.rigs {
-            rig.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: rows.to_vec() });
+    /// Sends these rows of the list of backends to all gateways.
+    fn update_backends(&mut self, rows: &[BackendRow]) {
+        for harness in &mut self.harnesses {
+            harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: rows.to_vec() });
         }
     }
 
-    /// Plays on for so long; returns when and where all gateways together sent.
-    fn play(&mut self, span: Micros, every: Micros) -> Vec<(Micros, BackendId)> {
-        let (mut all, step) = (Vec::new(), 10 * MS);
-        let gateways = self.rigs.len() as u64;
-        for t in 0..span / step {
-            for (g, rig) in self.rigs.iter_mut().enumerate() {
-                let due = self.due.extract_if(.., |d| d.1 == g && d.0 <= rig.now).collect::<Vec<_>>();
-                for (_, _, id, on) in due {
-                    rig.end(id, 0, on, Outcome::Ok, 100);
+    /// Runs the fleet for `span`, with a request at each gateway every `every`. Returns the time and the
+    /// backend of each attempt sent.
+    fn run(&mut self, span: Micros, every: Micros) -> Vec<(Micros, BackendId)> {
+        let (mut sends, step) = (Vec::new(), 10 * MS);
+        let gateways = self.harnesses.len() as u64;
+        for step_index in 0..span / step {
+            for (gateway, harness) in self.harnesses.iter_mut().enumerate() {
+                let due = self
+                    .due
+                    .extract_if(.., |attempt| attempt.1 == gateway && attempt.0 <= harness.now)
+                    .collect::<Vec<_>>();
+                for (_, _, id, backend) in due {
+                    harness.end_attempt(id, 0, backend, Outcome::Ok, 100);
                 }
-                // Each at an instant of its own.
-                if (t * step + g as u64 * every / gateways) % every < step {
+                // Each gateway has its own phase.
+                if (step_index * step + gateway as u64 * every / gateways) % every < step {
                     self.next += 1;
-                    for (id, on) in sent(&rig.ask(self.next, u64::from(self.next))) {
-                        self.due.push((rig.now + 100 * MS, g, id, on));
-                        all.push((rig.now, on));
+                    for (id, backend) in sent(&harness.request(self.next, u64::from(self.next))) {
+                        self.due.push((harness.now + 100 * MS, gateway, id, backend));
+                        sends.push((harness.now, backend));
                     }
                 }
-                rig.run(step);
+                harness.advance(step);
             }
         }
-        all
+        sends
     }
 }
 
 #[test]
 fn cold_backends_get_their_part_from_many_gateways_and_no_more() {
-    // Danger: of a hundred gateways each has a fraction of a request for a cold backend. By a lot for each
-    // span hardly one was sent: 36 of 60 backends stood idle while the others were jammed.
+    // Guards against idle cold backends: each of a hundred gateways may send a fraction of a request to a
+    // cold backend. When this was drawn at random per span, hardly any was sent: 36 of 60 backends were idle
+    // and the others overloaded.
     let mut fleet = Fleet::new(60, 20);
-    fleet.play(4 * SEC, 250 * MS);
-    let now = fleet.rigs[0].now;
+    fleet.run(4 * SEC, 250 * MS);
+    let now = fleet.harnesses[0].now;
     let rows: Vec<_> = (0..12)
-        .map(|n| BackendRow { started_at: now, ..BackendRow::new(backend(n), BackendState::Ready) })
+        .map(|n| BackendRow { started_at: now, ..BackendRow::new(backend_id(n), BackendState::Ready) })
         .collect();
-    fleet.tell(&rows);
-    let all = fleet.play(6 * SEC, 250 * MS);
-    let to = |n: u8| all.iter().filter(|s| s.1 == backend(n)).count() as f64;
-    let cold = (0..12).map(to).sum::<f64>() / 12.0;
-    let warm = (12..20).map(to).sum::<f64>() / 8.0;
-    // They are at 0.2 to 0.52 of their capacity.
-    assert!(cold > 0.15 * warm, "{cold} to each cold backend, {warm} to each warm one");
+    fleet.update_backends(&rows);
+    let sends = fleet.run(6 * SEC, 250 * MS);
+    let count_to = |n: u8| sends.iter().filter(|s| s.1 == backend_id(n)).count() as f64;
+    let cold = (0..12).map(count_to).sum::<f64>() / 12.0;
+    let warm = (12..20).map(count_to).sum::<f64>() / 8.0;
+    // The cold backends are at 0.2 to 0.52 of their capacity.
+    assert!(cold > 0.15 * warm, "{cold} requests to each cold backend, {warm} to each warm one");
     for n in 0..12 {
-        let times: Vec<_> = all.iter().filter(|s| s.1 == backend(n)).map(|s| s.0).collect();
-        let most =
-            times.iter().map(|t| times.iter().filter(|u| **u >= *t && **u < t + 2 * SEC).count()).max();
+        let times: Vec<_> = sends.iter().filter(|s| s.1 == backend_id(n)).map(|s| s.0).collect();
+        let max_in_2_s = times
+            .iter()
+            .map(|start| times.iter().filter(|time| **time >= *start && **time < start + 2 * SEC).count())
+            .max();
         let bound = 2.0 * 0.52 * warm / 3.0;
-        assert!((most.unwrap_or(0) as f64) < bound, "{most:?} in 2 s, {warm} in 6 s to each warm one");
+        assert!(
+            (max_in_2_s.unwrap_or(0) as f64) < bound,
+            "{max_in_2_s:?} requests in 2 s, {warm} in 6 s to each warm backend"
+        );
     }
 }
 
 #[test]
 fn a_correction_of_guessed_units_is_no_call_of_its_own_where_calls_are_short() {
-    // Danger: a hundred gateways that each put right half a unit took most of what the counter bears.
-    let (mut corrected, mut alone) = (0, 0);
+    // Guards against corrections that take most of the counter's capacity: each of a hundred gateways made
+    // calls to correct half a unit.
+    let (mut corrected, mut correction_calls) = (0, 0);
     for customer in 0..40 {
-        let config = Config { billed_on_response: true, ..many(30, 7, Plan::with_rate("small", 10.0, 20.0)) };
-        let mut rig = Rig::new(config, 100);
-        rig.spread = 30.0;
-        // The counter turns one away: calls are short for a while.
-        let away = (100..200).find_map(|id| calls(&rig.ask(id, 1_000 + u64::from(id))).first().copied());
-        rig.counted(away.expect("a call").0, CounterResult::NotAdded);
+        let config = Config {
+            billed_on_response: true,
+            ..gateway_config(30, 7, Plan::with_rate("small", 10.0, 20.0))
+        };
+        let mut harness = Harness::new(config, 100);
+        harness.spread = 30.0;
+        // The counter rejects a call: for a while the gateway makes fewer calls.
+        let rejected = (100..200)
+            .find_map(|id| counter_calls(&harness.request(id, 1_000 + u64::from(id))).first().copied());
+        harness.counter_call_ended(rejected.expect("a call").0, CounterResult::NotAdded);
         for id in 0..2 {
-            let mut acts = rig.ask(id, customer);
-            for (name, amount) in calls(&acts) {
-                alone += u32::from(amount == 0.5);
-                acts.extend(rig.counted(name, CounterResult::Total(amount)));
+            let mut actions = harness.request(id, customer);
+            for (key, amount) in counter_calls(&actions) {
+                correction_calls += u32::from(amount == 0.5);
+                actions.extend(harness.counter_call_ended(key, CounterResult::Total(amount)));
             }
-            for (id, backend) in sent(&acts) {
+            for (id, backend) in sent(&actions) {
                 let (id, attempt, outcome, load) =
                     (RequestId(id), AttemptIndex(0), Outcome::Ok, LoadReport::default());
-                let (elapsed, settled, fleet_use, billed) = (50 * MS, true, None, Some(1.5));
-                rig.ended(AttemptResult {
+                let (elapsed, request_done, quota_use, billed_units) = (50 * MS, true, None, Some(1.5));
+                harness.attempt_ended(AttemptResult {
                     id,
                     attempt,
                     backend,
                     outcome,
                     elapsed,
-                    request_done: settled,
-                    quota_use: fleet_use,
-                    billed_units: billed,
+                    request_done,
+                    quota_use,
+                    billed_units,
                     load,
                     body_consumed: false,
                 });
             }
-            corrected += sent(&acts).len();
+            corrected += sent(&actions).len();
             for _ in 0..20 {
-                for (name, amount) in calls(&rig.run(100 * MS)) {
-                    alone += u32::from(amount == 0.5);
-                    rig.counted(name, CounterResult::Total(amount));
+                for (key, amount) in counter_calls(&harness.advance(100 * MS)) {
+                    correction_calls += u32::from(amount == 0.5);
+                    harness.counter_call_ended(key, CounterResult::Total(amount));
                 }
             }
         }
     }
-    assert!(corrected > 40 && alone == 0, "{alone} calls for half a unit, {corrected} requests corrected");
+    assert!(
+        corrected > 40 && correction_calls == 0,
+        "{correction_calls} calls that add half a unit, {corrected} requests corrected"
+    );
 }
 
 #[test]
 fn a_backend_of_errors_costs_each_of_many_gateways_few_requests() {
-    // Danger: at four requests a second over sixteen backends, five errors took half a minute to come, and a
-    // backend ejected for half a second was back before its next request was due.
-    let (mut errors, mut met) = (0, 0);
-    for me in 0..20 {
-        let mut rig = Rig::new(many(100, me, Plan::with_rate("open", 0.0, 0.0)), 60);
-        let mut bad = BTreeSet::new();
+    // Guards against a late ejection: at four requests/s over sixteen backends it took half a minute until a
+    // backend had returned five errors, and one ejected for half a second was back before its next request
+    // was due.
+    let (mut errors, mut pairs) = (0, 0);
+    for index in 0..20 {
+        let mut harness = Harness::new(gateway_config(100, index, Plan::with_rate("open", 0.0, 0.0)), 60);
+        let mut failing = BTreeSet::new();
         for id in 0..160 {
-            for (id, on) in sent(&rig.ask(id, u64::from(id))) {
-                rig.run(50 * MS);
-                let fails = on.address[3] < 6;
+            for (id, backend) in sent(&harness.request(id, u64::from(id))) {
+                harness.advance(50 * MS);
+                let fails = backend.address[3] < 6;
                 if fails {
-                    bad.insert(on);
+                    failing.insert(backend);
                     errors += 1;
                 }
-                // Another attempt that follows is served.
-                let acts = rig.end(id, 0, on, if fails { Outcome::Error } else { Outcome::Ok }, 50);
-                for (id, on) in sent(&acts) {
-                    rig.end(id, 1, on, Outcome::Ok, 50);
+                // A retry succeeds.
+                let actions =
+                    harness.end_attempt(id, 0, backend, if fails { Outcome::Error } else { Outcome::Ok }, 50);
+                for (id, backend) in sent(&actions) {
+                    harness.end_attempt(id, 1, backend, Outcome::Ok, 50);
                 }
             }
-            let probes = rig.run(200 * MS);
-            for a in probes {
-                if let Action::Probe { backend } = a {
+            let probes = harness.advance(200 * MS);
+            for action in probes {
+                if let Action::Probe { backend } = action {
                     let load = LoadReport::default();
-                    rig.feed(Event::Probed { backend, outcome: Outcome::Ok, elapsed: MS, load });
+                    harness.feed(Event::Probed { backend, outcome: Outcome::Ok, elapsed: MS, load });
                 }
             }
         }
-        met += bad.len();
+        pairs += failing.len();
     }
     assert!(
-        met > 20 && errors < 4 * met,
-        "{errors} requests lost, {met} pairs of a gateway and a bad backend"
+        pairs > 20 && errors < 4 * pairs,
+        "{errors} errors, {pairs} pairs of a gateway and a failing backend"
     );
 }
 
 #[test]
 fn calls_go_where_they_decide_something() {
-    // Danger: with parts below a request all gateways need calls. Reading the last window beside the present
-    // one, and asking for plans whose excess costs nothing, took them from requests decided by the odds.
+    // Guards against calls that decide nothing. If each gateway's share is below one request, all gateways
+    // need calls. Reading the previous window besides the current one, and calls for plans without a cost
+    // beyond the quota, left no calls for requests that were then decided by probability.
     let free = Plan { over_cost: 0.0, ..Plan::with_rate("free", 5.0, 10.0) };
-    let dear = Plan::with_rate("dear", 5.0, 10.0);
-    let made = |gateways: u32| {
-        let config = Config { plans: vec![free.clone(), dear.clone()], ..many(gateways, 7, dear.clone()) };
-        let mut rig = Rig::new(config, 60);
-        let (mut made, mut most) = ([0, 0], 0);
+    let costly = Plan::with_rate("dear", 5.0, 10.0);
+    let calls_with = |gateways: u32| {
+        let config = Config {
+            plans: vec![free.clone(), costly.clone()],
+            ..gateway_config(gateways, 7, costly.clone())
+        };
+        let mut harness = Harness::new(config, 60);
+        let (mut requests_with_calls, mut max_calls) = ([0, 0], 0);
         for id in 0..400 {
             let plan = id % 2;
-            let mut acts = rig.feed(Event::Request(Arrival {
+            let mut actions = harness.feed(Event::Request(Arrival {
                 id: RequestId(id),
                 class: ClassIndex(0),
                 plan: PlanIndex(plan as u16),
                 customer: CustomerId(u64::from(id)),
-                deadline: rig.now + 2 * SEC,
+                deadline: harness.now + 2 * SEC,
                 units: 1.0,
                 spread: f64::from(gateways),
                 first_gateway: 0.0,
@@ -386,120 +432,151 @@
                 write: false,
                 body_pending: false,
             }));
-            let out = calls(&acts);
-            made[plan as usize] += usize::from(!out.is_empty());
-            most = most.max(out.len());
-            let mut waiting = out;
-            while let Some((name, amount)) = waiting.pop() {
-                let more = rig.counted(name, CounterResult::Total(amount + 5.0));
-                waiting.extend(calls(&more));
-                acts.extend(more);
+            let calls = counter_calls(&actions);
+            requests_with_calls[plan as usize] += usize::from(!calls.is_empty());
+            max_calls = max_calls.max(calls.len());
+            let mut waiting = calls;
+            while let Some((key, amount)) = waiting.pop() {
+                let more = harness.counter_call_ended(key, CounterResult::Total(amount + 5.0));
+                waiting.extend(counter_calls(&more));
+                actions.extend(more);
             }
-            for (id, on) in sent(&acts) {
-                rig.end(id, 0, on, Outcome::Ok, 50);
+            for (id, backend) in sent(&actions) {
+                harness.end_attempt(id, 0, backend, Outcome::Ok, 50);
             }
         }
-        (made, most)
+        (requests_with_calls, max_calls)
     };
-    let ([free, dear], _) = made(20);
-    assert!(dear > 50 && free < 20, "calls for {free} of 200 with nothing to lose, for {dear} of 200 others");
-    let (_, most) = made(16);
-    assert_eq!(most, 1, "the counter seems to have room, and one call settles a request");
+    let ([free, costly], _) = calls_with(20);
+    assert!(
+        costly > 50 && free < 20,
+        "calls for {free} of 200 requests without a cost beyond the quota, for {costly} of 200 others"
+    );
+    let (_, max_calls) = calls_with(16);
+    assert_eq!(max_calls, 1, "the counter seems to have capacity, and one call decides a request");
 }
 
 #[test]
 fn a_counter_that_is_back_from_an_outage_is_soon_relied_on() {
-    // Danger: each of hundreds makes about one call a second then; one by one, ten answers were needed.
-    let mut rig = rig(300, 7, 100);
-    let mut next = 0;
-    let mut play = |rig: &mut Rig, seconds: u32, answer: CounterResult| {
+    // Guards against a slow recovery: during an outage each of hundreds of gateways makes about one call per
+    // second, and ten answers were needed.
+    let mut harness = harness(300, 7, 100);
+    let mut id = 0;
+    let mut run_for = |harness: &mut Harness, seconds: u32, answer: CounterResult| {
         for _ in 0..seconds * 10 {
-            next += 1;
-            // This one's part holds a request: its counts are synced whatever the counter does.
-            rig.spread = 2.0;
-            rig.ask(next, 5);
-            rig.run(100 * MS);
-            let acts = std::mem::take(&mut rig.out);
-            answer_calls(rig, &acts, answer);
-            for (id, on) in sent(&acts) {
-                rig.end(id, 0, on, Outcome::Ok, 50);
+            id += 1;
+            // This gateway's share for this customer is above one request: its units are synced whatever the
+            // counter does.
+            harness.spread = 2.0;
+            harness.request(id, 5);
+            harness.advance(100 * MS);
+            let actions = std::mem::take(&mut harness.actions);
+            answer_calls(harness, &actions, answer);
+            for (id, backend) in sent(&actions) {
+                harness.end_attempt(id, 0, backend, Outcome::Ok, 50);
             }
         }
-        // One whose part holds none is held for a total where the counter is relied on.
-        next += 1;
-        rig.spread = 300.0;
-        let acts = rig.ask(next, 1_000 + u64::from(next));
-        answer_calls(rig, &acts, answer);
-        calls(&acts).len()
+        // With a share below one request, a request is held for a total if the counter is relied on.
+        id += 1;
+        harness.spread = 300.0;
+        let actions = harness.request(id, 1_000 + u64::from(id));
+        answer_calls(harness, &actions, answer);
+        counter_calls(&actions).len()
     };
-    assert!(play(&mut rig, 5, CounterResult::Total(1.0)) > 0, "while the counter is well");
-    assert_eq!(play(&mut rig, 12, CounterResult::NotAdded), 0, "while it is away");
-    assert!(play(&mut rig, 6, CounterResult::Total(1.0)) > 0, "6 s after its return");
+    assert!(run_for(&mut harness, 5, CounterResult::Total(1.0)) > 0, "while the counter works");
+    assert_eq!(run_for(&mut harness, 12, CounterResult::NotAdded), 0, "during the outage");
+    assert!(run_for(&mut harness, 6, CounterResult::Total(1.0)) > 0, "6 s after the outage");
 }
 
 #[test]
 fn what_is_kept_of_a_long_day_of_ever_new_names_has_an_end() {
-    // Danger: a gateway that runs for weeks meets customers, backends and windows without number.
-    let mut rig = rig(300, 7, 8);
-    let mut most = [0; 5];
+    // Guards against unbounded memory: a gateway that runs for weeks sees ever new customers, backends and
+    // windows.
+    let mut harness = harness(300, 7, 8);
+    let mut max_sizes = [0; 5];
     for id in 0..20_000u32 {
-        rig.out.clear();
-        rig.ask(id, 1_000 + u64::from(id));
+        harness.actions.clear();
+        harness.request(id, 1_000 + u64::from(id));
         if id % 20 == 0 {
-            // One backend is replaced by another of a new name.
+            // One backend is replaced by another with a new address.
             let n = id / 20;
-            let old = BackendRow::new(named(n), BackendState::Gone);
-            let new = BackendRow::new(named(n + 1), BackendState::Ready);
-            rig.feed(Event::Backends { kind: ListKind::Delta, version: u64::from(id), rows: vec![old, new] });
+            let old = BackendRow::new(numbered_backend_id(n), BackendState::Gone);
+            let new = BackendRow::new(numbered_backend_id(n + 1), BackendState::Ready);
+            harness.feed(Event::Backends {
+                kind: ListKind::Delta,
+                version: u64::from(id),
+                rows: vec![old, new],
+            });
         }
-        rig.run(100 * MS);
-        let acts = std::mem::take(&mut rig.out);
-        answer_calls(&mut rig, &acts, CounterResult::Total(1.0));
-        for (id, on) in sent(&acts) {
-            rig.end(id, 0, on, if id % 7 == 0 { Outcome::Timeout } else { Outcome::Ok }, 50);
+        harness.advance(100 * MS);
+        let actions = std::mem::take(&mut harness.actions);
+        answer_calls(&mut harness, &actions, CounterResult::Total(1.0));
+        for (id, backend) in sent(&actions) {
+            harness.end_attempt(id, 0, backend, if id % 7 == 0 { Outcome::Timeout } else { Outcome::Ok }, 50);
         }
-        let v = rig.gateway.diagnostics();
-        let kept = [v.customers, v.counter_keys, v.requests, v.timers, v.known_backends];
-        most = std::array::from_fn(|i| most[i].max(kept[i]));
+        let diagnostics = harness.gateway.diagnostics();
+        let sizes = [
+            diagnostics.customers,
+            diagnostics.counter_keys,
+            diagnostics.requests,
+            diagnostics.timers,
+            diagnostics.known_backends,
+        ];
+        max_sizes = std::array::from_fn(|i| max_sizes[i].max(sizes[i]));
     }
-    // Ten requests a second, and a customer is forgotten after 16 s: 160 and those of a second between sweeps.
-    assert!(most[0] < 250 && most[1] < 500, "{} customers and {} names", most[0], most[1]);
-    assert!(most[2] < 60 && most[3] < 60, "{} requests and {} timers", most[2], most[3]);
-    assert!(most[4] < 24, "{} backends", most[4]);
+    // Ten requests/s, and a customer is forgotten after 16 s: 160, and those of the second between two
+    // sweeps.
+    assert!(
+        max_sizes[0] < 250 && max_sizes[1] < 500,
+        "{} customers and {} counter keys",
+        max_sizes[0],
+        max_sizes[1]
+    );
+    assert!(max_sizes[2] < 60 && max_sizes[3] < 60, "{} requests and {} timers", max_sizes[2], max_sizes[3]);
+    assert!(max_sizes[4] < 24, "{} backends", max_sizes[4]);
 }
 
-fn named(n: u32) -> BackendId {
+/// Returns the id of backend `n`, of up to 2^24.
+fn numbered_backend_id(n: u32) -> BackendId {
     let [_, a, b, c] = n.to_be_bytes();
     BackendId { address: [11, a, b, c], port: 80 }
 }
 
 #[test]
 fn a_class_of_a_short_aim_is_not_shut_out_by_one_of_a_long_aim() {
-    // Danger: with most backends cold, the class that may wait longer filled all queues up to its own aim.
+    // Guards against starving a class: with most backends cold, the class with the longer target latency
+    // filled all queues up to its own target.
     let mut classes = vec![Class::pure("short", 600 * MS, 2 * SEC), Class::pure("long", 1_500 * MS, 5 * SEC)];
     classes[1].worth = 3.0;
-    let config = Config { classes, ..many(300, 7, Plan::with_rate("open", 0.0, 0.0)) };
-    let mut rig = Rig::new(config, 16);
-    let (mut asked, mut sent_on) = ([0u32; 2], [0u32; 2]);
-    let mut out: Vec<(Micros, u32, BackendId)> = Vec::new();
+    let config = Config { classes, ..gateway_config(300, 7, Plan::with_rate("open", 0.0, 0.0)) };
+    let mut harness = Harness::new(config, 16);
+    let (mut arrived, mut sent_on) = ([0u32; 2], [0u32; 2]);
+    let mut in_flight: Vec<(Micros, u32, BackendId)> = Vec::new();
     for id in 0..1_200u32 {
         let class = (id % 2) as usize;
-        let acts = rig.ask_class(id, 1_000 + u64::from(id), class);
-        // Own work takes 150 ms; what stands in the queues, the more the longer the day has gone on.
-        let took = if id < 200 { 150 } else { 450 };
-        out.extend(sent(&acts).into_iter().map(|(id, on)| (rig.now + took * MS, id, on)));
+        let actions = harness.request_class(id, 1_000 + u64::from(id), class);
+        // Attempts take 150 ms at first, on an idle fleet, and 450 ms from then on, when they are queued.
+        let elapsed_ms = if id < 200 { 150 } else { 450 };
+        in_flight.extend(
+            sent(&actions).into_iter().map(|(id, backend)| (harness.now + elapsed_ms * MS, id, backend)),
+        );
         if id >= 600 {
-            asked[class] += 1;
-            sent_on[class] += sent(&acts).len() as u32;
+            arrived[class] += 1;
+            sent_on[class] += sent(&actions).len() as u32;
         }
-        rig.run(50 * MS);
-        let due = out.iter().filter(|o| o.0 <= rig.now).copied().collect::<Vec<_>>();
-        out.retain(|o| o.0 > rig.now);
-        for (_, id, on) in due {
-            rig.end(id, 0, on, Outcome::Ok, took);
+        harness.advance(50 * MS);
+        let due = in_flight.iter().filter(|attempt| attempt.0 <= harness.now).copied().collect::<Vec<_>>();
+        in_flight.retain(|attempt| attempt.0 > harness.now);
+        for (_, id, backend) in due {
+            harness.end_attempt(id, 0, backend, Outcome::Ok, elapsed_ms);
         }
     }
-    let rate = |c: usize| f64::from(sent_on[c]) / f64::from(asked[c]);
-    assert!(rate(0) > 0.2 * rate(1), "of the short one {:.2} go on, of the long one {:.2}", rate(0), rate(1));
-    assert!(rate(0) < rate(1), "the worthier one goes first: {:.2} and {:.2}", rate(0), rate(1));
+    let rate = |class: usize| f64::from(sent_on[class]) / f64::from(arrived[class]);
+    assert!(
+        rate(0) > 0.2 * rate(1),
+        "{:.2} of the short class are sent, {:.2} of the long one",
+        rate(0),
+        rate(1)
+    );
+    assert!(rate(0) < rate(1), "the class of more worth goes first: {:.2} and {:.2}", rate(0), rate(1));
 }
