--- a/benchlink/src/main.rs
+++ b/benchlink/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs gateways for the simulator: reads batches of events from standard input and writes replies to standard
-//! output. An error ends the process with a line on standard error.
+//! Runs gateways for the simulator: reads batches of events from standard input and writes replies to
+//! standard output. An error ends the process with a line on standard error.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/benchlink/src/settings.rs
+++ b/benchlink/src/settings.rs
@@ -1,5 +1,5 @@
-//! Parses the settings (JSON) of a new gateway. Unknown keys are ignored. Names that end in `_us` are times in
-//! microseconds.
+//! Parses the settings (JSON) of a new gateway. Unknown keys are ignored. Names that end in `_us` are times
+//! in microseconds.
 
 use crate::codes;
 use caperwind::{
@@ -171,8 +171,9 @@
     }
 }
 
-/// Parses settings (JSON) into a [`Config`]. Fails if the text is not JSON, or if a setting is missing or has an
-/// unknown value; the error is one line that names the setting. Ranges are checked by [`Config::validate`].
+/// Parses settings (JSON) into a [`Config`]. Fails if the text is not JSON, or if a setting is missing or has
+/// an unknown value; the error is one line that names the setting. Ranges are checked by
+/// [`Config::validate`].
 pub fn parse(text: &[u8]) -> Result<Config, String> {
     let settings: Settings = serde_json::from_slice(text).map_err(|error| format!("settings: {error}"))?;
     let (limits, invariants, extra) = (settings.policy_limits, settings.invariants, settings.extra);
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -1,6 +1,6 @@
 //! Decodes batches of event records and encodes replies of action records. Numbers are little-endian, and
-//! records have no padding between fields. Data of variable length is in the tail, which follows the records of
-//! a frame; a record refers to it by offset and length.
+//! records have no padding between fields. Data of variable length is in the tail, which follows the records
+//! of a frame; a record refers to it by offset and length.
 
 use crate::codes::{self, ACTION_LEN, ENTRY_LEN, EVENT_LEN};
 use caperwind::{
@@ -49,8 +49,8 @@
         let values = std::array::from_fn(|i| self.f32(offset + 1 + 4 * i));
         LoadReport { len: self.u8(offset).min(4), values }
     }
-    /// Returns the part of the tail that the field refers to: an offset in bytes and a count of items, each of
-    /// `width` bytes. Fails if the tail does not contain all of it.
+    /// Returns the part of the tail that the field refers to: an offset in bytes and a count of items, each
+    /// of `width` bytes. Fails if the tail does not contain all of it.
     fn tail_span<'t>(&self, offset: usize, tail: &'t [u8], width: usize) -> Result<&'t [u8], String> {
         let (start, count) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
         let len = count.checked_mul(width).ok_or("tail span overflows")?;
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -58,8 +58,8 @@
         let load = LoadReport::default();
         harness.feed(Event::Probed { backend: backend_id(0), outcome: Outcome::Ok, elapsed: MS, load });
         harness.advance(6 * SEC);
-        let back = count_by_backend(&mut harness, 200, 200)[backend_id(0).address[3] as usize];
-        assert!(back > 60, "at full capacity again: {back} of 200 requests");
+        let recovered = count_by_backend(&mut harness, 200, 200)[backend_id(0).address[3] as usize];
+        assert!(recovered > 60, "at full capacity again: {recovered} of 200 requests");
     }
 }
 
@@ -84,9 +84,9 @@
     let mut failed = 0;
     for id in 0..40 {
         for (id, backend) in sent(&harness.request(id, 500 + u64::from(id))) {
-            let bad = backend == backend_id(0);
-            failed += usize::from(bad);
-            harness.end_attempt(id, 0, backend, if bad { Outcome::Timeout } else { Outcome::Ok }, 10);
+            let failing = backend == backend_id(0);
+            failed += usize::from(failing);
+            harness.end_attempt(id, 0, backend, if failing { Outcome::Timeout } else { Outcome::Ok }, 10);
         }
     }
     assert!(failed <= 6, "{failed} requests failed before the backend was ejected");
@@ -98,9 +98,9 @@
     let mut failed = 0;
     for id in 0..100 {
         for (id, backend) in sent(&harness.request(id, 500 + u64::from(id))) {
-            let bad = backend == backend_id(0);
-            failed += usize::from(bad);
-            harness.end_attempt(id, 0, backend, if bad { Outcome::Error } else { Outcome::Ok }, 10);
+            let failing = backend == backend_id(0);
+            failed += usize::from(failing);
+            harness.end_attempt(id, 0, backend, if failing { Outcome::Error } else { Outcome::Ok }, 10);
         }
     }
     assert!(failed <= 20, "{failed} requests failed before the backend was ejected");
@@ -334,10 +334,10 @@
 #[test]
 fn without_probes_a_backend_that_breaks_connections_rests() {
     let mut harness = Harness::new(Config { may_probe: false, ..config() }, 3);
-    let (mut broken, bad) = (0, backend_id(1));
+    let (mut broken, failing) = (0, backend_id(1));
     for id in 0..200 {
         for (id, backend) in sent(&harness.request(id, u64::from(id))) {
-            let outcome = if backend == bad && broken < 2 { Outcome::Reset } else { Outcome::Ok };
+            let outcome = if backend == failing && broken < 2 { Outcome::Reset } else { Outcome::Ok };
             broken += u32::from(outcome == Outcome::Reset);
             harness.end_attempt(id, 0, backend, outcome, 5);
         }
@@ -349,7 +349,7 @@
     assert_eq!(broken, 2);
     harness.advance(200 * MS);
     let later: Vec<_> = (300..315).flat_map(|id| sent(&harness.request(id, u64::from(id)))).collect();
-    assert!(later.len() >= 10 && later.iter().all(|attempt| attempt.1 != bad), "{later:?}");
+    assert!(later.len() >= 10 && later.iter().all(|attempt| attempt.1 != failing), "{later:?}");
 }
 
 /// Guards against refusals while the fleet is healthy: requests lost on connections that went silent stay in
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -403,13 +403,13 @@
     /// A client's request arrives at a gateway drawn by its traffic weight.
     fn request_arrives(&mut self) {
         let up = |candidate: &&SimGateway| candidate.process.is_some();
-        let mut place = self.rng.f64()
+        let mut remaining_weight = self.rng.f64()
             * self.gateways.iter().filter(up).map(|candidate| candidate.traffic_weight).sum::<f64>();
-        let found = self.gateways.iter().position(|candidate| {
-            place -= if candidate.process.is_some() { candidate.traffic_weight } else { 0.0 };
-            candidate.process.is_some() && place <= 0.0
+        let drawn = self.gateways.iter().position(|candidate| {
+            remaining_weight -= if candidate.process.is_some() { candidate.traffic_weight } else { 0.0 };
+            candidate.process.is_some() && remaining_weight <= 0.0
         });
-        let Some(gateway) = found else { return };
+        let Some(gateway) = drawn else { return };
         self.requests += 1;
         let request = self.requests;
         let deadline = self.now + 2 * SEC;
@@ -667,8 +667,8 @@
         let mean = uses.iter().sum::<f64>() / uses.len() as f64;
         let [from_all, from_informed] = max_ratios;
         println!(
-            "{scenario:?}, {gateways} gateways: {over_bound} of {} over the bound, at most {from_all:.2} of it \
-             ({from_informed:.2} from informed gateways), relative use {mean:.2}",
+            "{scenario:?}, {gateways} gateways: {over_bound} of {} over the bound, at most {from_all:.2} of \
+             it ({from_informed:.2} from informed gateways), relative use {mean:.2}",
             uses.len()
         );
         all_uses.extend(uses);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -194,7 +194,7 @@
         let sum = |field: fn(&Account) -> f64| accounts.iter().map(field).sum::<f64>();
         let (beyond, within) = (sum(|a| a.beyond) / sum(|a| a.ideal), sum(|a| a.within) / sum(|a| a.ideal));
         let summary = format!(
-            "counter {counter:?}: beyond quotas {beyond:.3}, within them {within:.3} of the ideal number of requests"
+            "counter {counter:?}: beyond quotas {beyond:.3}, within them {within:.3} of the ideal number"
         );
         eprintln!("{summary}");
         for (account, rate_factor) in accounts.iter().zip(rate_factors) {
--- a/tests/quota.rs
+++ b/tests/quota.rs
@@ -464,9 +464,9 @@
 fn totals_well_within_their_time_out_are_no_crowd() {
     let max_calls_at = |elapsed_ms: u64| {
         let mut harness = Harness::new(config(), 2);
-        for n in 0..40 {
-            let customer = u64::from(n % 4);
-            let mut actions = harness.request(n, customer);
+        for id in 0..40 {
+            let customer = u64::from(id % 4);
+            let mut actions = harness.request(id, customer);
             actions.extend(harness.advance(100 * MS));
             for (key, amount) in counter_calls(&actions) {
                 harness.feed(Event::CounterCallEnded {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -110,8 +110,8 @@
         let rows = vec![BackendRow::new(backend_id(0), state)];
         harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows });
         harness.now += config().drain_grace + 1;
-        let all: Vec<_> = (0..20).flat_map(|n| harness.request(n, 100 + u64::from(n))).collect();
-        assert!(sent(&all).len() > 5 && sent(&all).iter().all(|s| s.1 == backend_id(1)), "{state:?}");
+        let actions: Vec<_> = (0..20).flat_map(|id| harness.request(id, 100 + u64::from(id))).collect();
+        assert!(sent(&actions).len() > 5 && sent(&actions).iter().all(|s| s.1 == backend_id(1)), "{state:?}");
     }
 }
 
@@ -215,8 +215,8 @@
     let mut harness = Harness::new(config(), 2);
     let rows = vec![BackendRow::new(backend_id(1), BackendState::Ready)];
     harness.feed(Event::Backends { kind: ListKind::Full, version: 2, rows });
-    let all: Vec<_> = (0..20).flat_map(|n| harness.request(n, 100 + u64::from(n))).collect();
-    assert!(sent(&all).len() > 5 && sent(&all).iter().all(|s| s.1 == backend_id(1)));
+    let actions: Vec<_> = (0..20).flat_map(|id| harness.request(id, 100 + u64::from(id))).collect();
+    assert!(sent(&actions).len() > 5 && sent(&actions).iter().all(|s| s.1 == backend_id(1)));
 }
 
 #[test]
@@ -242,8 +242,8 @@
         BackendRow { started_at: harness.now - 1, ..BackendRow::new(backend_id(9), BackendState::Ready) };
     harness.feed(Event::Backends { kind: ListKind::Delta, version: 2, rows: vec![cold] });
     let (mut to_cold, mut to_warm) = (0, 0);
-    for n in 0..100 {
-        let actions = harness.request(n, 1000 + u64::from(n));
+    for id in 0..100 {
+        let actions = harness.request(id, 1000 + u64::from(id));
         for (id, backend) in sent(&actions) {
             if backend == backend_id(9) {
                 to_cold += 1
@@ -314,9 +314,10 @@
         let load = LoadReport::default();
         harness.feed(Event::Probed { backend: backend_id(0), outcome, elapsed: MS, load });
     }
-    let all: Vec<_> = (1..41).flat_map(|i| sent(&harness.request(id + i, 2000 + u64::from(i)))).collect();
-    let to_failed = all.iter().filter(|s| s.1 == backend_id(0)).count();
-    assert!(3 * to_failed > all.len(), "{to_failed} of {} requests", all.len());
+    let attempts: Vec<_> =
+        (1..41).flat_map(|i| sent(&harness.request(id + i, 2000 + u64::from(i)))).collect();
+    let to_failed = attempts.iter().filter(|s| s.1 == backend_id(0)).count();
+    assert!(3 * to_failed > attempts.len(), "{to_failed} of {} requests", attempts.len());
 }
 
 /// Returns settings of a plan with a hard ceiling: rate in units per second, burst in units.
@@ -330,8 +331,8 @@
     let mut harness = Harness::new(ceiling(2.0, 8.0), 3);
     harness.advance(10 * SEC);
     let mut actions = Vec::new();
-    for n in 0..50 {
-        actions.extend(harness.request(n, 5));
+    for id in 0..50 {
+        actions.extend(harness.request(id, 5));
         harness.now += 20 * MS;
     }
     let passed = sent(&actions).len();
