--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -169,9 +169,10 @@
             }
             let told = message.time_to_tell(left);
             let backend_in_service = era == Some(connection.era);
-            let facts = SendFacts { client_closed, backend_in_service, left, told };
+            let facts =
+                SendFacts { client_closed, backend_in_service, time_left: left, announced_time: told };
             if let Err(violation) = facts.check() {
-                self.guard.refused(violation, &format!("{} {}", message.method, message.target));
+                self.guard.record(violation, &format!("{} {}", message.method, message.target));
                 return Ok(Outcome::NotSent.into());
             }
             let request = message.request(told);
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -14,7 +14,7 @@
 use crate::discovery::Subscriber;
 use crate::endpoints::{Endpoint, List};
 use crate::guard::{EarlierAttempt, Guard};
-use crate::reasons::{Reasons, Refused};
+use crate::reasons::{ReasonCounts, Refused};
 use backend_list::{BackendList, Listed, MAX_BACKENDS};
 use caperwind::{
     Action, Arrival, BackendId, BackendRow, BackendState, Config, CounterKey, CounterResult, Effect, Event,
@@ -98,7 +98,7 @@
     clock: Clock,
     pool: Rc<Pool>,
     counter: Rc<Counter>,
-    reasons: Rc<Reasons>,
+    reasons: Rc<ReasonCounts>,
     wake: Notify,
     ready: Cell<bool>,
     /// Discovery itself has told a list.
@@ -118,11 +118,11 @@
 
 /// The driver, as its users hold it. Borrows of its state never cross an await.
 #[derive(Clone)]
-pub struct Shared(Rc<Inner>);
+pub struct Driver(Rc<Inner>);
 
 /// A place in the table; dropping it before the answer has come means that the client has gone.
 pub struct Ticket {
-    driver: Shared,
+    driver: Driver,
     id: RequestId,
     answer: oneshot::Receiver<Reply>,
     /// The end of the request's time, also for an answer that is passed on after the request was settled.
@@ -130,13 +130,13 @@
     done: bool,
 }
 
-impl Shared {
+impl Driver {
     pub fn new(
         module: Config,
         seed: u64,
         pool: Rc<Pool>,
         counter: Rc<Counter>,
-        reasons: Rc<Reasons>,
+        reasons: Rc<ReasonCounts>,
     ) -> Result<Self, String> {
         let clock = Clock::start();
         let gateway = Gateway::new(module.clone(), seed).map_err(|e| e.to_string())?;
@@ -152,7 +152,7 @@
             refetch: false,
             tally: Tally::default(),
         };
-        Ok(Shared(Rc::new(Inner {
+        Ok(Driver(Rc::new(Inner {
             core: RefCell::new(core),
             module,
             clock,
@@ -166,7 +166,7 @@
         })))
     }
 
-    pub fn module(&self) -> &Config {
+    pub fn config(&self) -> &Config {
         &self.0.module
     }
 
@@ -185,12 +185,12 @@
         self.0.ready.get()
     }
 
-    pub fn closing(&self) -> bool {
+    pub fn shutting_down(&self) -> bool {
         self.0.closing.get().is_some()
     }
 
     /// From now on, no answer may come later than `span` from now.
-    pub fn close_within(&self, span: Micros) {
+    pub fn begin_shutdown(&self, span: Micros) {
         let last = self.0.clock.now() + span;
         self.0.closing.set(Some(last));
         let (mut core, mut moved) = (self.0.core.borrow_mut(), Vec::new());
@@ -208,7 +208,7 @@
         self.0.wake.notify_one();
     }
 
-    pub fn idle(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.0.core.borrow().requests.is_empty()
     }
 
@@ -263,7 +263,7 @@
     }
 
     /// Whether a backend of that name is listed or out by hand.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn knows_backend(&self, name: &str) -> bool {
         self.0.core.borrow().backends.knows(name)
     }
 
@@ -286,7 +286,7 @@
     }
 
     /// Takes a backend out by hand, or back in; one that is not listed yet, too.
-    pub fn bar(&self, name: &str, out: bool) {
+    pub fn set_backend_disabled(&self, name: &str, out: bool) {
         let mut core = self.0.core.borrow_mut();
         let backend = core.backends.bar(name, out);
         self.0.pool.bar(backend, out);
@@ -295,46 +295,46 @@
     }
 
     /// What the next process of this gateway is to know beside what the module knows.
-    pub fn listed(&self) -> (List, Vec<String>) {
+    pub fn backend_snapshot(&self) -> (List, Vec<String>) {
         self.0.core.borrow().backends.snapshot()
     }
 
-    pub fn legacy(&self) -> HandoverState {
+    pub fn handover_state(&self) -> HandoverState {
         self.0.core.borrow().gateway.handover_state()
     }
 
-    pub fn spent(&self) -> Vec<UnsyncedUnits> {
+    pub fn take_unsynced_units(&self) -> Vec<UnsyncedUnits> {
         self.0.core.borrow_mut().gateway.take_unsynced_units()
     }
 
     /// Whether units are to be told to the counter still.
-    pub fn has_unsent(&self) -> bool {
+    pub fn has_unsynced_units(&self) -> bool {
         self.0.core.borrow().gateway.has_unsynced_units()
     }
 
     /// Whether units are told to a counter at all.
-    pub fn counts(&self) -> bool {
+    pub fn uses_counter(&self) -> bool {
         self.0.module.counter.is_some()
     }
 
-    pub fn inherit(&self, legacy: HandoverState) {
+    pub fn receive_handover(&self, legacy: HandoverState) {
         self.feed(Event::HandoverReceived(Box::new(legacy)));
     }
 
-    pub fn take_over(&self, spent: Vec<UnsyncedUnits>) {
+    pub fn add_unsynced_units(&self, spent: Vec<UnsyncedUnits>) {
         self.feed(Event::UnsyncedUnits(spent));
     }
 
-    pub fn paired(&self, on: bool) {
+    pub fn set_other_process_serving(&self, on: bool) {
         self.feed(Event::OtherProcess { serving: on });
     }
 
     /// Waits until discovery has told a list.
-    pub async fn first_list(&self) {
+    pub async fn wait_for_first_list(&self) {
         self.0.told.notified().await;
     }
 
-    pub fn drain(&self, on: bool) {
+    pub fn set_draining(&self, on: bool) {
         self.feed(Event::Drain { on });
     }
 
@@ -343,13 +343,13 @@
     }
 
     /// Backends listed, and of these the ones that get nothing new; and attempts written whole.
-    pub fn backends(&self) -> (usize, usize, u64) {
+    pub fn backend_counts(&self) -> (usize, usize, u64) {
         let v = self.0.core.borrow().gateway.diagnostics();
         (v.listed_backends, v.skipped_backends, self.0.pool.attempts_written.get())
     }
 
     /// The list kept from an earlier life.
-    pub fn backends_known(&self, list: List) {
+    pub fn apply_cached_list(&self, list: List) {
         if !list.endpoints.is_empty() {
             self.0.ready.set(true);
         }
@@ -399,7 +399,7 @@
     }
 }
 
-impl Subscriber for Shared {
+impl Subscriber for Driver {
     /// News from discovery; true where the module has asked for the whole list.
     fn told(&self, mut list: List, older: bool) -> bool {
         self.0.ready.set(true);
@@ -422,7 +422,7 @@
     }
 }
 
-impl Results for Shared {
+impl Results for Driver {
     fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
         self.0.core.borrow_mut().tally.call(result);
         self.feed(Event::CounterCallEnded { key: name, result, elapsed });
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -1,7 +1,7 @@
 //! What the module says, carried out: attempts are begun and ended, requests get their final answers.
 
 use super::timers::Due;
-use super::{Core, Out, Reply, Shared};
+use super::{Core, Driver, Out, Reply};
 use crate::backend::{AttemptLimits, ClientClosed, Finish};
 use crate::guard::{EarlierAttempt, RepeatFacts};
 use crate::reasons::outcome_name;
@@ -18,7 +18,7 @@
     why: SendReason,
 }
 
-impl Shared {
+impl Driver {
     /// Tells the counter of as many units as it bears: the process ends.
     pub fn flush(&self) {
         let mut core = self.0.core.borrow_mut();
@@ -91,15 +91,15 @@
             earlier: &open.history,
             now,
             max_attempts: self.0.module.max_attempts,
-            second_copies: self.0.module.hedging,
+            hedging: self.0.module.hedging,
         };
         let allowed = facts.check();
         if let Err(violation) = allowed {
-            self.guard().refused(violation, &format!("request {:?}, attempt {attempt}", open.name));
+            self.guard().record(violation, &format!("request {:?}, attempt {attempt}", open.name));
         }
         let may_begin = allowed.is_ok() && open.reply.is_some() && !spent && now < open.deadline;
         let outcome = if may_begin { None } else { Some(Outcome::NotSent) };
-        open.history.push(EarlierAttempt { sent: now, outcome });
+        open.history.push(EarlierAttempt { started_at: now, outcome });
         if !may_begin {
             let moot = Outcome::NotSent.into();
             core.events.push_back(ended(id, attempt, backend, 0, open.reply.is_none(), spent, moot));
--- a/node/src/driver/timers.rs
+++ b/node/src/driver/timers.rs
@@ -1,6 +1,6 @@
 //! Timers: attempts' own time-outs, clients' deadlines, the module's timers, upkeep.
 
-use super::{Reply, Shared};
+use super::{Driver, Reply};
 use caperwind::{Event, Micros, Outcome, RequestId, TimerToken};
 
 /// Upkeep of the pools.
@@ -20,9 +20,9 @@
     Sweep,
 }
 
-impl Shared {
+impl Driver {
     /// Fires timers as they come due, for as long as the program runs.
-    pub async fn keep_time(&self) {
+    pub async fn run_timers(&self) {
         loop {
             let next = self.fire();
             let sleep = tokio::time::sleep_until(self.0.clock.instant(next));
--- a/node/src/figures.rs
+++ b/node/src/figures.rs
@@ -2,7 +2,7 @@
 
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
 use crate::logging::LimitedLog;
-use crate::reasons::Reasons;
+use crate::reasons::ReasonCounts;
 use caperwind::{ClassIndex, Config};
 use hyper::StatusCode;
 use serde_json::{json, Map, Value};
@@ -29,7 +29,7 @@
 }
 
 /// Counts since this process began.
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<String>,
     ended: RefCell<Vec<[u64; 3]>>,
     in_progress: Cell<u64>,
@@ -37,11 +37,11 @@
     uploads_interrupted: [Cell<u64>; UploadInterruption::ALL.len()],
     interruptions: LimitedLog,
     /// Why requests were refused and repeated, and connections closed.
-    pub reasons: Rc<Reasons>,
+    pub reasons: Rc<ReasonCounts>,
 }
 
 /// A request in work, for as long as this lives.
-pub struct Taken(Rc<Figures>);
+pub struct Taken(Rc<Metrics>);
 
 impl Drop for Taken {
     fn drop(&mut self) {
@@ -49,11 +49,11 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     pub fn new(module: &Config) -> Rc<Self> {
         let classes: Vec<_> = module.classes.iter().map(|c| c.name.clone()).collect();
         let ended = RefCell::new(vec![[0; 3]; classes.len()]);
-        Rc::new(Figures {
+        Rc::new(Metrics {
             classes,
             ended,
             in_progress: Cell::new(0),
--- a/node/src/guard.rs
+++ b/node/src/guard.rs
@@ -82,9 +82,9 @@
     /// The backend is in service, and the connection leads to it.
     pub backend_in_service: bool,
     /// What is left of the request's time.
-    pub left: Duration,
+    pub time_left: Duration,
     /// The time that the backend is told.
-    pub told: Duration,
+    pub announced_time: Duration,
 }
 
 impl SendFacts {
@@ -96,10 +96,10 @@
         if !self.backend_in_service {
             return Err(Violation::SendToUnwantedBackend);
         }
-        if self.left.is_zero() {
+        if self.time_left.is_zero() {
             return Err(Violation::SendAfterDeadline);
         }
-        if self.told > self.left + TOLD_SLACK {
+        if self.announced_time > self.time_left + TOLD_SLACK {
             return Err(Violation::SendWithTooMuchTime);
         }
         Ok(())
@@ -110,7 +110,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
     /// When it was begun.
-    pub sent: Micros,
+    pub started_at: Micros,
     /// How it ended; `None` while it is out.
     pub outcome: Option<Outcome>,
 }
@@ -133,7 +133,7 @@
     /// Attempts that a request may have.
     pub max_attempts: u32,
     /// Whether two may be out.
-    pub second_copies: bool,
+    pub hedging: bool,
 }
 
 impl RepeatFacts<'_> {
@@ -142,14 +142,14 @@
         if self.earlier.len() >= self.max_attempts as usize {
             return Err(Violation::TooManyAttempts);
         }
-        if !self.second_copies && self.earlier.iter().any(|a| a.outcome.is_none()) {
+        if !self.hedging && self.earlier.iter().any(|a| a.outcome.is_none()) {
             return Err(Violation::SecondCopy);
         }
         let Some(ran) = self.earlier.iter().find(|a| a.may_have_run()) else { return Ok(()) };
         match self.effect {
             Effect::Pure => Ok(()),
             Effect::Unsafe => Err(Violation::RepeatOfUnsafe),
-            Effect::Keyed { window, .. } if self.now < ran.sent.saturating_add(window) => Ok(()),
+            Effect::Keyed { window, .. } if self.now < ran.started_at.saturating_add(window) => Ok(()),
             Effect::Keyed { .. } => Err(Violation::RepeatAfterWindow),
         }
     }
@@ -164,7 +164,7 @@
 
 impl Guard {
     /// Takes in that a step was refused, and what it was.
-    pub fn refused(&self, violation: Violation, what: &str) {
+    pub fn record(&self, violation: Violation, what: &str) {
         let count = &self.counts[violation as usize];
         count.set(count.get() + 1);
         self.log.line(&format!("guard: {}: {what}", violation.name()));
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -4,7 +4,7 @@
 mod meeting_point;
 
 use crate::config::Held;
-use crate::driver::Shared;
+use crate::driver::Driver;
 use crate::endpoints::List;
 use caperwind::{HandoverState, UnsyncedUnits};
 use meeting_point::MeetingPoint;
@@ -97,7 +97,7 @@
 
 /// The other processes of this gateway, as far as they can be reached.
 pub struct Handover {
-    driver: Shared,
+    driver: Driver,
     path: Option<PathBuf>,
     peers: RefCell<BTreeMap<u64, Peer>>,
     next: Cell<u64>,
@@ -111,7 +111,7 @@
 
 impl Handover {
     /// Takes over what a process that runs already knows, and waits for the next one.
-    pub async fn join(driver: Shared, path: Option<PathBuf>) -> Rc<Self> {
+    pub async fn join(driver: Driver, path: Option<PathBuf>) -> Rc<Self> {
         let (peers, next, successor) = (RefCell::default(), Cell::new(0), Cell::new(None));
         let held = watch::channel(None).0;
         let departed = Notify::new();
@@ -167,7 +167,7 @@
         let successor = self.successor.get();
         let heir = peers.iter().max_by_key(|(id, peer)| (successor == Some(**id), peer.heard, **id));
         if let Some((_, heir)) = heir {
-            drop(heir.tell.send(line(&Message::Spent(self.driver.spent()))));
+            drop(heir.tell.send(line(&Message::Spent(self.driver.take_unsynced_units()))));
         }
     }
 
@@ -190,10 +190,10 @@
             return Err("it does not say what it knows".to_owned());
         };
         let State { list, barred, draining, module } = *state;
-        self.driver.backends_known(list);
-        self.driver.inherit(module);
-        barred.iter().for_each(|name| self.driver.bar(name, true));
-        self.driver.drain(draining);
+        self.driver.apply_cached_list(list);
+        self.driver.receive_handover(module);
+        barred.iter().for_each(|name| self.driver.set_backend_disabled(name, true));
+        self.driver.set_draining(draining);
         self.talk(from, to, true);
         Ok(())
     }
@@ -217,8 +217,8 @@
         if self.peers.borrow().len() >= MAX_PEERS && !self.make_way() {
             return;
         }
-        let (list, barred) = self.driver.listed();
-        let (draining, module) = (self.driver.draining(), self.driver.legacy());
+        let (list, barred) = self.driver.backend_snapshot();
+        let (draining, module) = (self.driver.draining(), self.driver.handover_state());
         let state = Message::State(Box::new(State { list, barred, draining, module }));
         let (from, to) = stream.into_split();
         let tell = self.talk(BufReader::new(from), to, false);
@@ -276,7 +276,7 @@
     fn changed(&self) {
         let paired = self.paired();
         self.held.send_modify(|held| *held = paired.then(|| held.unwrap_or_default()));
-        self.driver.paired(paired);
+        self.driver.set_other_process_serving(paired);
     }
 
     fn handle(&self, id: u64, message: Message) {
@@ -286,10 +286,10 @@
         }
         match message {
             Message::Serving => self.successor.set(Some(id)),
-            Message::Bar { name, out } => self.driver.bar(&name, out),
-            Message::Drain { on } => self.driver.drain(on),
+            Message::Bar { name, out } => self.driver.set_backend_disabled(&name, out),
+            Message::Drain { on } => self.driver.set_draining(on),
             Message::Held(held) => drop(self.held.send_replace(Some(held))),
-            Message::Spent(spent) => self.driver.take_over(spent),
+            Message::Spent(spent) => self.driver.add_unsynced_units(spent),
             // Only the first message is one of these.
             Message::State(_) => {}
         }
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -1,7 +1,7 @@
 //! The operators' door: one call per connection, apart from the clients' listener and its limits.
 
-use crate::driver::Shared;
-use crate::figures::Figures;
+use crate::driver::Driver;
+use crate::figures::Metrics;
 use crate::handover::{Handover, Message};
 use crate::meter::{Meter, Metered};
 use crate::server::Server;
@@ -32,9 +32,9 @@
 
 /// What operators may ask of this process.
 pub struct Door {
-    driver: Shared,
+    driver: Driver,
     server: Rc<Server>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     others: Rc<Handover>,
     most: usize,
 }
@@ -47,9 +47,9 @@
 
 impl Door {
     pub fn new(
-        driver: Shared,
+        driver: Driver,
         server: Rc<Server>,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         others: Rc<Handover>,
         most: usize,
     ) -> Rc<Self> {
@@ -112,10 +112,10 @@
             return answer;
         }
         match path {
-            "/ready" if self.server.ready() => say(StatusCode::OK, "ready\n"),
+            "/ready" if self.server.is_ready() => say(StatusCode::OK, "ready\n"),
             "/ready" => say(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => {
-                let mut report = self.figures.report(self.driver.backends());
+                let mut report = self.figures.report(self.driver.backend_counts());
                 report["guard_violations"] = self.driver.guard().report().into();
                 report["local_failures"] = self.driver.local_failures().into();
                 report["tasks"] = Handle::current().metrics().num_alive_tasks().into();
@@ -124,7 +124,7 @@
                 answer
             }
             "/drain" | "/undrain" => {
-                self.driver.drain(path == "/drain");
+                self.driver.set_draining(path == "/drain");
                 self.others.tell(&Message::Drain { on: path == "/drain" });
                 log::info!("ops: {path}");
                 say(StatusCode::OK, "done\n")
@@ -138,10 +138,10 @@
         let (Some((_, id)), None) = (ids.next(), ids.next()) else {
             return say(StatusCode::BAD_REQUEST, "one id is wanted: ?id=ID\n");
         };
-        if !self.driver.knows(&id) {
+        if !self.driver.knows_backend(&id) {
             return say(StatusCode::NOT_FOUND, "no backend of this id\n");
         }
-        self.driver.bar(&id, out);
+        self.driver.set_backend_disabled(&id, out);
         self.others.tell(&Message::Bar { name: id.to_string(), out });
         log::info!("ops: {id:?} {}", if out { "taken out" } else { "back in" });
         say(StatusCode::OK, "done\n")
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -58,9 +58,9 @@
     }?;
     let pool = Pool::new(&setup);
     let counter = Counter::new(setup.counter, setup.module.counter, alone.counter);
-    let figures = figures::Figures::new(&setup.module);
+    let figures = figures::Metrics::new(&setup.module);
     let last_answer = last_answer(&setup.module);
-    let driver = driver::Shared::new(
+    let driver = driver::Driver::new(
         setup.module,
         setup.seed,
         pool.clone(),
@@ -70,12 +70,12 @@
     // The module begins with the list it last had, an empty one if none.
     let none = endpoints::List { index: 0, snapshot: true, endpoints: Vec::new() };
     let known = setup.known.as_ref().filter(|list| !list.endpoints.is_empty()).map(|list| list.index);
-    driver.backends_known(setup.known.unwrap_or(none));
+    driver.apply_cached_list(setup.known.unwrap_or(none));
     let supervisor = Supervisor::new(pool.guard.clone());
     let timers = driver.clone();
     supervisor.run("timers", move || {
         let timers = timers.clone();
-        async move { timers.keep_time().await }
+        async move { timers.run_timers().await }
     });
 
     let bodies = Budget::new(setup.body_bytes);
@@ -98,13 +98,13 @@
     let (discovery, followed) = watch::channel(setup.discovery);
     // What another process has handed over is checked against the whole list.
     let held = known.filter(|_| !others.paired());
-    let terms = discovery::Terms::of(driver.module());
+    let terms = discovery::Terms::of(driver.config());
     let follower = driver.clone();
     supervisor.run("discovery", move || {
         discovery::follow(followed.clone(), follower.clone(), terms, held, setup.seed)
     });
     let watched = server.clone();
-    supervisor.run("connections", move || watched.clone().watch());
+    supervisor.run("connections", move || watched.clone().watch_connections());
     let (sharing, sharer, shared_counter) = (others.clone(), server.clone(), counter.clone());
     supervisor.run("bounds", move || {
         share(alone, paired, sharing.clone(), sharer.clone(), pool.clone(), shared_counter.clone())
@@ -118,10 +118,10 @@
         async move {
             // Another process serves: there is time to hear what discovery says now.
             if serving.paired() {
-                let _ = timeout(FIRST_LIST, first.first_list()).await;
+                let _ = timeout(FIRST_LIST, first.wait_for_first_list()).await;
             }
             // One that ends does not go on after the others.
-            if !first.closing() {
+            if !first.shutting_down() {
                 serving.tell(&Message::Serving);
             }
             accepts.accept(&listener, last).await;
@@ -133,16 +133,16 @@
     tokio::task::spawn_local(reload_on(hangup, discovery, counter.clone()));
     let _ = term.recv().await;
     let began = Instant::now();
-    driver.close_within(last_answer.as_micros() as u64);
+    driver.begin_shutdown(last_answer.as_micros() as u64);
     if others.succeeded() {
         // What still comes is the other process's.
-        server.succeeded();
+        server.set_successor_serving();
         stop.send_replace(true);
     }
     // Danger: the front goes on opening connections for a while, and what comes on them is taken.
     sleep(STILL_ACCEPT).await;
     while began.elapsed() < last_answer + LAST_BYTES {
-        if driver.idle() && server.empty() {
+        if driver.is_idle() && server.has_no_connections() {
             if accept.is_finished() {
                 break;
             }
@@ -155,10 +155,10 @@
         server.close_idle(idle, CloseReason::Ending);
         // Danger: an answer that never ends would hold this process until SIGKILL, and its client for longer.
         if began.elapsed() >= last_answer {
-            server.cut_unproven(LAST_BYTES);
+            server.abort_stalled_answers(LAST_BYTES);
         }
         // Nothing more is spent, though answers may still flow: no time is lost until they end.
-        if driver.idle() && !others.paired() {
+        if driver.is_idle() && !others.paired() {
             driver.flush();
         }
         sleep(END_INTERVAL).await;
@@ -175,7 +175,7 @@
     others.hand_over();
     finish_answers(&server).await;
     others.end().await;
-    server.check_end();
+    server.check_unanswered_requests();
     // Tasks that are left hold nothing that is owed; they end with the process.
     std::process::exit(0);
 }
@@ -199,9 +199,9 @@
 }
 
 /// Tells the counter of the units that it has not been told of: no other process of this gateway can.
-async fn flush_units(driver: &driver::Shared, counter: &Counter, until: Instant) {
-    while driver.counts() && Instant::now() < until {
-        if !driver.has_unsent() && !counter.busy() {
+async fn flush_units(driver: &driver::Driver, counter: &Counter, until: Instant) {
+    while driver.uses_counter() && Instant::now() < until {
+        if !driver.has_unsynced_units() && !counter.busy() {
             break;
         }
         driver.flush();
@@ -213,11 +213,11 @@
 /// its answer.
 async fn finish_answers(server: &Server) {
     let mut last_answered = Instant::now();
-    while !server.empty() && last_answered.elapsed() < LAST_BYTES {
-        server.cut_unproven(LAST_BYTES);
-        server.close_behind_answers();
+    while !server.has_no_connections() && last_answered.elapsed() < LAST_BYTES {
+        server.abort_stalled_answers(LAST_BYTES);
+        server.close_after_answers();
         server.close_idle(Duration::ZERO, CloseReason::Ending);
-        if server.answering() {
+        if server.is_answering() {
             last_answered = Instant::now();
         }
         sleep(END_INTERVAL).await;
@@ -237,10 +237,10 @@
     loop {
         let other = *held.borrow_and_update();
         let bounds = other.map_or(alone, |other| paired.beside(other));
-        server.hold(bounds.clients);
+        server.set_max_connections(bounds.clients);
         pool.hold(bounds.backends);
         counter.set_max_connections(bounds.counter);
-        let own = Held { clients: server.held(), backends: pool.held() };
+        let own = Held { clients: server.connection_count(), backends: pool.held() };
         if other.is_some() && own != told {
             others.tell(&Message::Held(own));
             told = own;
--- a/node/src/reasons.rs
+++ b/node/src/reasons.rs
@@ -106,13 +106,13 @@
 
 /// Counts since the process began.
 #[derive(Default)]
-pub struct Reasons {
+pub struct ReasonCounts {
     refused: CountsByName,
     repeated: CountsByName,
     closed: CountsByName,
 }
 
-impl Reasons {
+impl ReasonCounts {
     /// A request was refused.
     pub fn refused(&self, request: &str, why: Refused) {
         self.refused.count(why.name());
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -5,8 +5,8 @@
 mod transfer;
 
 use crate::body::budget::Budget;
-use crate::driver::Shared;
-use crate::figures::Figures;
+use crate::driver::Driver;
+use crate::figures::Metrics;
 use crate::guard::Violation;
 use crate::logging::LimitedLog;
 use crate::meter::{Metered, HEAD_BYTES};
@@ -49,8 +49,8 @@
 
 /// All client connections.
 pub struct Server {
-    driver: Shared,
-    figures: Rc<Figures>,
+    driver: Driver,
+    figures: Rc<Metrics>,
     most: Cell<usize>,
     /// It accepts; and another process of this gateway does when this one no longer does.
     open: Cell<bool>,
@@ -84,42 +84,42 @@
 }
 
 impl Server {
-    pub fn new(driver: Shared, figures: Rc<Figures>, most: usize, bodies: Budget) -> Rc<Self> {
+    pub fn new(driver: Driver, figures: Rc<Metrics>, most: usize, bodies: Budget) -> Rc<Self> {
         let (connections, next) = (RefCell::default(), Cell::new(0));
         let (left, waits) = (Notify::new(), Notify::new());
         let (most, open, succeeded) = (Cell::new(most), Cell::new(false), Cell::new(false));
         Rc::new(Server { driver, figures, most, open, succeeded, bodies, connections, next, left, waits })
     }
 
-    pub fn empty(&self) -> bool {
+    pub fn has_no_connections(&self) -> bool {
         self.connections.borrow().is_empty()
     }
 
     /// From now on holds so many connections at most, as far as others can make way.
-    pub fn hold(&self, most: usize) {
+    pub fn set_max_connections(&self, most: usize) {
         self.most.set(most);
     }
 
     /// Whether an answer is on its way.
-    pub fn answering(&self) -> bool {
+    pub fn is_answering(&self) -> bool {
         self.connections.borrow().values().any(|c| c.answering())
     }
 
     /// Ends the answers that are not known to be long and of which nothing has come for so long: they never may end.
     /// A long one goes on for as long as its backend sends, and its client may take it slowly.
-    pub fn cut_unproven(&self, for_long: Duration) {
+    pub fn abort_stalled_answers(&self, for_long: Duration) {
         let connections = self.connections.borrow();
         let unproven = connections.values().filter(|c| !c.answer_is_long());
         unproven.filter(|c| c.answer_stopped(for_long)).for_each(|c| c.cut(CutReason::ProcessEnded));
     }
 
     /// Connections held.
-    pub fn held(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
     /// Another process of this gateway serves from now on.
-    pub fn succeeded(&self) {
+    pub fn set_successor_serving(&self) {
         self.succeeded.set(true);
     }
 
@@ -133,7 +133,7 @@
     }
 
     /// Closes each connection that an answer is on its way on, once that is written.
-    pub fn close_behind_answers(&self) {
+    pub fn close_after_answers(&self) {
         let connections = self.connections.borrow();
         connections
             .values()
@@ -217,7 +217,7 @@
     }
 
     /// Looks the connections over, for as long as the program runs.
-    pub async fn watch(self: Rc<Self>) {
+    pub async fn watch_connections(self: Rc<Self>) {
         let mut drained: Option<Instant> = None;
         loop {
             let waiting = || self.connections.borrow().values().any(|c| c.waiting());
@@ -280,7 +280,7 @@
                 let flows = matches!(answer.body(), Either::Right(_));
                 client.begin_answer();
                 client.enter(if flows { Phase::Reply } else { Phase::Idle });
-                if server.driver.closing() || server.driver.draining() || client.meter.skipped() {
+                if server.driver.shutting_down() || server.driver.draining() || client.meter.skipped() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 client.last_answer.set(answer.headers().contains_key(CONNECTION));
@@ -321,29 +321,27 @@
     }
 
     /// Whether this process serves and goes on to.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let ready =
-            self.open.get() && self.driver.ready() && !self.driver.closing() && !self.driver.draining();
-        let too_soon = ready && (!self.open.get() || self.driver.closing());
+            self.open.get() && self.driver.ready() && !self.driver.shutting_down() && !self.driver.draining();
+        let too_soon = ready && (!self.open.get() || self.driver.shutting_down());
         if too_soon {
-            self.driver.guard().refused(Violation::ReadyTooSoon, "asked by an operator");
+            self.driver.guard().record(Violation::ReadyTooSoon, "asked by an operator");
         }
         ready && !too_soon
     }
 
     /// Looks for requests that the end of the process leaves without an answer.
-    pub fn check_end(&self) {
+    pub fn check_unanswered_requests(&self) {
         for client in self.connections.borrow().values().filter(|c| c.phase() == Phase::Work) {
             let (_, last) = client.requests();
-            self.driver
-                .guard()
-                .refused(Violation::CloseOverRequest, &format!("request {last:?}, at the end"));
+            self.driver.guard().record(Violation::CloseOverRequest, &format!("request {last:?}, at the end"));
         }
     }
 
     /// Whether clients are wanted at this address: another process may serve there when this one ends.
     fn serving(&self) -> bool {
-        let goes_on = !self.driver.closing() || self.succeeded.get();
+        let goes_on = !self.driver.shutting_down() || self.succeeded.get();
         self.driver.ready() && goes_on && !self.driver.draining()
     }
 }
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -311,7 +311,7 @@
         let client_gone = matches!(why, CutReason::ClientClosed | CutReason::ClientStopped);
         if self.phase() == Phase::Work && !client_gone {
             let what = format!("request {:?}, {why:?}", self.last_request.borrow());
-            return self.guard.refused(Violation::CloseOverRequest, &what);
+            return self.guard.record(Violation::CloseOverRequest, &what);
         }
         self.cut_reason.set(Some(why));
         if let Some(task) = self.task.get() {
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -71,7 +71,7 @@
             return self.health(request.method());
         }
         let (head, body) = request.into_parts();
-        let (terms, length) = match admit(&head, self.driver.module()) {
+        let (terms, length) = match admit(&head, self.driver.config()) {
             Ok(admitted) => admitted,
             // Where it is wrong in one thing, its end may be elsewhere than it says, too.
             Err((status, text)) => return last(status, text),
--- a/node/src/server/transfer.rs
+++ b/node/src/server/transfer.rs
@@ -3,7 +3,7 @@
 use super::connection::{ClientConnection, Phase};
 use crate::body::download::Download;
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
-use crate::figures::{Ending, Figures, Taken};
+use crate::figures::{Ending, Metrics, Taken};
 use bytes::Bytes;
 use caperwind::ClassIndex;
 use hyper::body::{Body, Frame, SizeHint};
@@ -25,7 +25,7 @@
 pub struct StreamedAnswer {
     download: Download,
     client: Rc<ClientConnection>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     request: RequestLabel,
     began: Instant,
     /// The request in work, until its end is settled.
@@ -37,7 +37,7 @@
     pub fn new(
         download: Download,
         client: Rc<ClientConnection>,
-        figures: Rc<Figures>,
+        figures: Rc<Metrics>,
         request: RequestLabel,
         taken: Taken,
     ) -> Self {
@@ -112,7 +112,7 @@
 /// A request's body that is coming; dropped before its end is told, it was interrupted with its connection.
 pub struct UploadWatch {
     client: Rc<ClientConnection>,
-    figures: Rc<Figures>,
+    figures: Rc<Metrics>,
     request: RequestLabel,
     began: Instant,
     ended: bool,
@@ -120,7 +120,7 @@
 
 impl UploadWatch {
     /// Watches the body of a request that has begun to come.
-    pub fn new(client: Rc<ClientConnection>, figures: Rc<Figures>, request: RequestLabel) -> Self {
+    pub fn new(client: Rc<ClientConnection>, figures: Rc<Metrics>, request: RequestLabel) -> Self {
         UploadWatch { client, figures, request, began: Instant::now(), ended: false }
     }
 
--- a/node/src/supervisor.rs
+++ b/node/src/supervisor.rs
@@ -45,7 +45,7 @@
                 if !e.is_panic() {
                     return;
                 }
-                this.guard.refused(Violation::TaskPanicked, &format!("{name} begins anew"));
+                this.guard.record(Violation::TaskPanicked, &format!("{name} begins anew"));
                 sleep(RESTART_PAUSE).await;
             }
         })
--- a/node/tests/guard.rs
+++ b/node/tests/guard.rs
@@ -7,8 +7,8 @@
 const SOUND: SendFacts = SendFacts {
     client_closed: false,
     backend_in_service: true,
-    left: Duration::from_millis(500),
-    told: Duration::from_millis(500),
+    time_left: Duration::from_millis(500),
+    announced_time: Duration::from_millis(500),
 };
 const KEYED: Effect = Effect::Keyed { group: KeyGroup::All, window: 1_000 };
 
@@ -18,8 +18,11 @@
     let broken = [
         (SendFacts { client_closed: true, ..SOUND }, Violation::SendForClosedClient),
         (SendFacts { backend_in_service: false, ..SOUND }, Violation::SendToUnwantedBackend),
-        (SendFacts { left: Duration::ZERO, told: Duration::ZERO, ..SOUND }, Violation::SendAfterDeadline),
-        (SendFacts { told: Duration::from_millis(503), ..SOUND }, Violation::SendWithTooMuchTime),
+        (
+            SendFacts { time_left: Duration::ZERO, announced_time: Duration::ZERO, ..SOUND },
+            Violation::SendAfterDeadline,
+        ),
+        (SendFacts { announced_time: Duration::from_millis(503), ..SOUND }, Violation::SendWithTooMuchTime),
     ];
     for (facts, violation) in broken {
         assert_eq!(facts.check(), Err(violation), "{facts:?}");
@@ -29,8 +32,8 @@
 #[test]
 fn a_repeat_is_held_to_its_class_and_its_window() {
     let check = |effect, outcome, now| {
-        let earlier = [EarlierAttempt { sent: 0, outcome }];
-        RepeatFacts { effect, earlier: &earlier, now, max_attempts: 3, second_copies: true }.check()
+        let earlier = [EarlierAttempt { started_at: 0, outcome }];
+        RepeatFacts { effect, earlier: &earlier, now, max_attempts: 3, hedging: true }.check()
     };
     for outcome in [None, Some(Outcome::Reset), Some(Outcome::Timeout), Some(Outcome::Error)] {
         assert_eq!(check(Effect::Pure, outcome, 5_000), Ok(()));
@@ -46,11 +49,11 @@
 
 #[test]
 fn attempts_are_bounded_in_all_and_at_once() {
-    let out = EarlierAttempt { sent: 0, outcome: None };
-    let ended = EarlierAttempt { sent: 0, outcome: Some(Outcome::Reset) };
+    let out = EarlierAttempt { started_at: 0, outcome: None };
+    let ended = EarlierAttempt { started_at: 0, outcome: Some(Outcome::Reset) };
     let check = |earlier: &[EarlierAttempt], second_copies| {
         let effect = Effect::Pure;
-        RepeatFacts { effect, earlier, now: 1, max_attempts: 2, second_copies }.check()
+        RepeatFacts { effect, earlier, now: 1, max_attempts: 2, hedging: second_copies }.check()
     };
     assert_eq!(check(&[out], true), Ok(()));
     assert_eq!(check(&[out], false), Err(Violation::SecondCopy));
@@ -61,8 +64,8 @@
 #[test]
 fn violations_are_counted_by_name() {
     let guard = Guard::default();
-    guard.refused(Violation::SecondCopy, "request \"7\"");
-    guard.refused(Violation::SecondCopy, "request \"8\"");
+    guard.record(Violation::SecondCopy, "request \"7\"");
+    guard.record(Violation::SecondCopy, "request \"8\"");
     assert_eq!(guard.count(Violation::SecondCopy), 2);
     assert_eq!(guard.report()["second_copy"], 2);
     assert_eq!(guard.report()["repeat_of_unsafe"], 0);
