--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -6,6 +6,6 @@
 pub mod message;
 pub mod pool;
 
-pub use attempt::{AttemptLimits, ClientClosed, Finish};
+pub use attempt::{AttemptLimits, ClientClosed, CompletedAttempt};
 pub use message::{Message, Payload};
 pub use pool::Pool;
--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -1,14 +1,14 @@
 //! Attempts and probes, each over one connection.
 
-use super::load_report::{parse_billed, parse_load};
+use super::load_report::{parse_billed_units, parse_load_report};
 use super::message::{strip_hop_by_hop, Message, Payload};
-use super::pool::{shorter, Connection, Pool};
+use super::pool::{shortened_idle_timeout, Connection, Pool};
 use crate::body::download::{AnswerBody, AnswerConnection, Deadline, Download};
 use crate::body::gather::{gather, Gathered};
 use crate::body::upload::UploadSource;
 use crate::body::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use crate::guard::SendFacts;
-use crate::link::{head_length, Broken};
+use crate::link::{head_length, SendError};
 use bytes::Bytes;
 use caperwind::{BackendId, LoadReport, Outcome};
 use http_body_util::{BodyExt, Either, Full};
@@ -32,18 +32,18 @@
 const NOT_RUN: &str = "x-unprocessed";
 
 /// What came of an attempt or a probe.
-pub struct Finish {
+pub struct CompletedAttempt {
     pub outcome: Outcome,
     pub load: LoadReport,
     /// The true units of what was served, where the answer tells them.
-    pub billed: Option<f64>,
+    pub billed_units: Option<f64>,
     /// The answer, where it was served.
     pub answer: Option<Response<AnswerBody>>,
 }
 
-impl From<Outcome> for Finish {
+impl From<Outcome> for CompletedAttempt {
     fn from(outcome: Outcome) -> Self {
-        Finish { outcome, load: LoadReport::default(), billed: None, answer: None }
+        CompletedAttempt { outcome, load: LoadReport::default(), billed_units: None, answer: None }
     }
 }
 
@@ -94,7 +94,7 @@
     }
 
     fn has_unread(&self) -> bool {
-        !self.connection.link.meter().quiet()
+        !self.connection.link.meter().is_open_and_empty()
     }
 
     fn release(self: Box<Self>) {
@@ -123,14 +123,14 @@
         id: BackendId,
         message: &Message,
         limits: &AttemptLimits,
-    ) -> Result<Finish, ClientClosed> {
+    ) -> Result<CompletedAttempt, ClientClosed> {
         let deadline = &limits.deadline;
         // Danger: an attempt that begins after its client has closed is work for nobody, and counts.
         if message.client.peer_closed() {
             return Err(ClientClosed);
         }
         // What can be sent once takes no chance with a connection that may have died unseen.
-        let once = matches!(message.body, Payload::Coming(_));
+        let once = matches!(message.body, Payload::Streamed(_));
         let mut reused = if once { None } else { self.reuse(id) };
         loop {
             let idle = reused.as_ref().map(|r| r.1);
@@ -181,7 +181,7 @@
                 (Payload::Whole { .. }, Some(n)) => {
                     connection.link.meter().aim(before + n, self.attempts_written.clone())
                 }
-                (Payload::Coming(source), _) => {
+                (Payload::Streamed(source), _) => {
                     source.count_in(connection.link.meter(), self.attempts_written.clone(), before + head)
                 }
                 _ => {}
@@ -192,10 +192,12 @@
                     let received = Received { id, connection, deadline, upload };
                     return Ok(self.read(response, received).await);
                 }
-                Err(Broken { written: true }) => {
+                Err(SendError { fully_written: true }) => {
                     // Danger: some let go of an idle connection sooner than they say, and unseen; what is
                     // written to it may have run for all that is known here.
-                    self.holds.set(idle.map_or(self.holds.get(), |idle| shorter(self.holds.get(), idle)));
+                    self.holds.set(
+                        idle.map_or(self.holds.get(), |idle| shortened_idle_timeout(self.holds.get(), idle)),
+                    );
                     return Ok(Outcome::Reset.into());
                 }
                 // Not a byte went out on a connection that had died unseen: the attempt is yet to begin.
@@ -215,19 +217,19 @@
 
     /// Reads an answer: to its end where it is small, else its beginning, with the rest to follow. A spoilt one
     /// may have run.
-    async fn read(self: &Rc<Self>, response: Response<Incoming>, received: Received) -> Finish {
+    async fn read(self: &Rc<Self>, response: Response<Incoming>, received: Received) -> CompletedAttempt {
         let (mut head, body) = response.into_parts();
         let load = self.load(head.headers.get(LOAD_HEADER).map(|v| v.as_bytes()));
         let length = body.size_hint().exact();
         // No end is waited for that can't be kept, and no other protocol follows what was no offer of one.
         if length.is_some_and(|n| n > MAX_BODY_BYTES) || head.status.is_informational() {
-            return Finish { load, ..Outcome::Reset.into() };
+            return CompletedAttempt { load, ..Outcome::Reset.into() };
         }
         let deadline = received.deadline.clone().filter(|_| head.status == StatusCode::OK);
         let gathered = self.gather(body, length, deadline.as_ref()).await;
         let outcome = outcome_of(&head);
         let billed = head.headers.get(BILLED).filter(|_| outcome == Outcome::Ok);
-        let billed = billed.and_then(|v| parse_billed(v.to_str().ok()?, self.units_top));
+        let billed = billed.and_then(|v| parse_billed_units(v.to_str().ok()?, self.units_top));
         strip_hop_by_hop(&mut head.headers);
         head.headers.remove(LOAD_HEADER);
         let body = match gathered {
@@ -237,7 +239,7 @@
                 }
                 Either::Left(Full::new(body))
             }
-            Gathered::Part(first, rest) => match deadline {
+            Gathered::Partial(first, rest) => match deadline {
                 Some(deadline) => {
                     let Received { id, connection, upload, .. } = received;
                     let connection = PooledConnection { pool: self.clone(), id, connection, upload };
@@ -246,12 +248,12 @@
                 }
                 // What an answer that is none of ours to pass on has to say is not waited for.
                 None if outcome != Outcome::Ok => Either::Left(Full::default()),
-                None => return Finish { load, ..Outcome::Reset.into() },
+                None => return CompletedAttempt { load, ..Outcome::Reset.into() },
             },
-            Gathered::Broken => return Finish { load, ..Outcome::Reset.into() },
+            Gathered::Failed => return CompletedAttempt { load, ..Outcome::Reset.into() },
         };
         let answer = (outcome == Outcome::Ok).then(|| Response::from_parts(head, body));
-        Finish { outcome, load, billed, answer }
+        CompletedAttempt { outcome, load, billed_units: billed, answer }
     }
 
     /// Gathers an answer that may be small, as far as there is memory for it. One that may be passed on is waited
@@ -265,13 +267,13 @@
         let until = until.map(|end| (Instant::now() + GATHER_TIME).min(end.get() - GATHER_MARGIN));
         match reservation {
             Some(_) => gather(body, until).await,
-            None => Gathered::Part(Bytes::new(), body),
+            None => Gathered::Partial(Bytes::new(), body),
         }
     }
 
     /// Asks a backend how it is, over a new connection. Danger: one is probed because it was ejected,
     /// and what was open to it may lead to a machine that was cut off: silent, whatever the new one says.
-    pub async fn probe(self: &Rc<Self>, id: BackendId) -> Finish {
+    pub async fn probe(self: &Rc<Self>, id: BackendId) -> CompletedAttempt {
         self.close_idle(id);
         let ask = async {
             let mut connection = match self.open(id).await {
@@ -284,7 +286,7 @@
             let length = head_length(&request);
             let response = match connection.link.send(request, || Some(length)).await {
                 Ok(response) => response,
-                Err(Broken { written: true }) => return Outcome::Reset.into(),
+                Err(SendError { fully_written: true }) => return Outcome::Reset.into(),
                 Err(_) => return Outcome::ConnectFailed.into(),
             };
             let mut finish =
@@ -301,6 +303,6 @@
 
     /// A load report: `TEXT name=value, name=value`. Fields that the settings do not name are passed over.
     fn load(&self, text: Option<&[u8]>) -> LoadReport {
-        parse_load(&self.load_fields, text.and_then(|t| std::str::from_utf8(t).ok()).unwrap_or(""))
+        parse_load_report(&self.load_fields, text.and_then(|t| std::str::from_utf8(t).ok()).unwrap_or(""))
     }
 }
--- a/node/src/backend/load_report.rs
+++ b/node/src/backend/load_report.rs
@@ -7,12 +7,12 @@
 
 /// The units that an answer tells. Danger: what is no amount that a request can take would empty or fill
 /// its customer's quota at one stroke; it is passed over, and the guess stands.
-pub fn parse_billed(text: &str, most: f64) -> Option<f64> {
+pub fn parse_billed_units(text: &str, most: f64) -> Option<f64> {
     text.trim().parse::<f64>().ok().filter(|units| (0.0..=most).contains(units))
 }
 
 /// A load report: `TEXT name=value, name=value`. Fields that are not asked for are passed over.
-pub fn parse_load(fields: &[LoadField], text: &str) -> LoadReport {
+pub fn parse_load_report(fields: &[LoadField], text: &str) -> LoadReport {
     // A value that is not told is no number: the module must not take it for a zero.
     let mut report = LoadReport { len: 0, values: [f32::NAN; 4] };
     let text = text.trim().trim_start_matches("TEXT");
--- a/node/src/backend/message.rs
+++ b/node/src/backend/message.rs
@@ -51,7 +51,7 @@
     /// Held whole, with its part of what bodies may hold.
     Whole { body: Bytes, _reservation: Reservation },
     /// Still on its way; it can be sent once.
-    Coming(Rc<UploadSource>),
+    Streamed(Rc<UploadSource>),
 }
 
 impl Payload {
@@ -59,7 +59,7 @@
     pub(super) fn upload(&self) -> Option<Rc<UploadSource>> {
         match self {
             Payload::Whole { .. } => None,
-            Payload::Coming(source) => Some(source.clone()),
+            Payload::Streamed(source) => Some(source.clone()),
         }
     }
 
@@ -67,15 +67,15 @@
     pub(super) fn framed(&self) -> Option<u64> {
         match self {
             Payload::Whole { body, .. } => Some(body.len() as u64),
-            Payload::Coming(source) => source.framed(),
+            Payload::Streamed(source) => source.framed(),
         }
     }
 }
 
 impl Message {
     /// Whether it can't be sent from its beginning any more.
-    pub fn spent(&self) -> bool {
-        matches!(&self.body, Payload::Coming(source) if source.begun())
+    pub fn body_consumed(&self) -> bool {
+        matches!(&self.body, Payload::Streamed(source) if source.begun())
     }
 
     /// The time that a backend is told of what is left. That of a body that is still coming does not run yet.
@@ -87,7 +87,7 @@
     pub(super) fn request(&self, told: Duration) -> Request<RequestBody> {
         let (body, length) = match &self.body {
             Payload::Whole { body, .. } => (Either::Left(Full::new(body.clone())), Some(body.len() as u64)),
-            Payload::Coming(source) => (Either::Right(Upload::new(source.clone())), source.length),
+            Payload::Streamed(source) => (Either::Right(Upload::new(source.clone())), source.length),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
--- a/node/src/backend/pool.rs
+++ b/node/src/backend/pool.rs
@@ -4,7 +4,7 @@
 use crate::body::budget::Budget;
 use crate::config::Setup;
 use crate::guard::Guard;
-use crate::link::{Link, SETTLE};
+use crate::link::{Link, REUSE_DELAY};
 use caperwind::{BackendId, LoadField, Outcome};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -94,7 +94,7 @@
     }
 
     /// Takes in a listed backend; connections to a process that is no more in service are dropped.
-    pub fn set(&self, id: BackendId, address: SocketAddr, ready: bool, same_process: bool) {
+    pub fn update_backend(&self, id: BackendId, address: SocketAddr, ready: bool, same_process: bool) {
         let mut peers = self.peers.borrow_mut();
         let new = || Peer { address, ready, era: self.next_era(), idle: Vec::new() };
         let peer = peers.entry(id).or_insert_with(new);
@@ -117,7 +117,7 @@
     }
 
     /// A backend that is no longer listed. Attempts that are out there hold their own connections.
-    pub fn forget(&self, id: BackendId) {
+    pub fn remove_backend(&self, id: BackendId) {
         self.peers.borrow_mut().remove(&id);
     }
 
@@ -136,7 +136,7 @@
     }
 
     /// Takes a backend out by hand, or back in; connections are kept to none that is out.
-    pub fn bar(&self, id: BackendId, out: bool) {
+    pub fn set_disabled(&self, id: BackendId, out: bool) {
         let mut barred = self.barred.borrow_mut();
         if out {
             barred.insert(id);
@@ -156,7 +156,7 @@
     pub(super) fn reuse(&self, id: BackendId) -> Option<(Connection, Duration)> {
         let mut peers = self.peers.borrow_mut();
         let idle = &mut peers.get_mut(&id)?.idle;
-        while let Some(at) = idle.iter().rposition(|(_, since)| since.elapsed() >= SETTLE) {
+        while let Some(at) = idle.iter().rposition(|(_, since)| since.elapsed() >= REUSE_DELAY) {
             let (conn, since) = idle.remove(at);
             let idle = since.elapsed();
             if conn.link.usable() && idle < self.holds.get() {
@@ -175,12 +175,12 @@
     }
 
     /// Connections held.
-    pub fn held(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// From now on holds so many connections at most, as far as idle ones can make way.
-    pub fn hold(&self, most: usize) {
+    pub fn set_max_connections(&self, most: usize) {
         self.most.set(most);
         while self.open.get() > most && self.drop_oldest().is_some() {}
     }
@@ -225,7 +225,7 @@
 }
 
 /// How long idle connections are kept once one has broken at its next request after standing idle so long.
-pub fn shorter(holds: Duration, idle: Duration) -> Duration {
+pub fn shortened_idle_timeout(holds: Duration, idle: Duration) -> Duration {
     if idle < LEAST_IDLE {
         holds
     } else {
--- a/node/src/body/answer_limit.rs
+++ b/node/src/body/answer_limit.rs
@@ -17,17 +17,17 @@
 /// again after 0.2 s, 0.4 s, 0.8 s and 1.6 s, do not interrupt it.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Waiting in all, after its request's time, for an answer that has still not proved to be long.
-pub const MAX_UNPROVEN_WAIT: Duration = Duration::from_secs(10);
+pub const MAX_UNKNOWN_LENGTH_WAIT: Duration = Duration::from_secs(10);
 /// Waiting in all, after its request's time, for a long answer.
 pub const MAX_LONG_WAIT: Duration = Duration::from_secs(900);
 
 /// What is known of an answer's length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Extent {
+pub enum LengthClass {
     /// The backend told a length that is held whole elsewhere.
     Short,
     /// No length was told, and not enough has come to know.
-    Unproven,
+    Unknown,
     /// A longer length was told, or has come.
     Long,
 }
@@ -71,13 +71,13 @@
     }
 
     /// What is known of its length by now.
-    pub fn extent(&self) -> Extent {
+    pub fn length_class(&self) -> LengthClass {
         let long = |bytes: u64| bytes > MAX_BUFFERED_BYTES as u64;
         match self.length {
-            Some(length) if long(length) => Extent::Long,
-            Some(_) => Extent::Short,
-            None if long(self.received) => Extent::Long,
-            None => Extent::Unproven,
+            Some(length) if long(length) => LengthClass::Long,
+            Some(_) => LengthClass::Short,
+            None if long(self.received) => LengthClass::Long,
+            None => LengthClass::Unknown,
         }
     }
 
@@ -86,11 +86,11 @@
         let since = *self.waiting_since.get_or_insert(now);
         let late = (deadline + LATE_GRACE, AnswerInterruption::Late);
         let stalled = (deadline.max(since + STALL_TIMEOUT), AnswerInterruption::Stalled);
-        match self.extent() {
-            Extent::Short => late,
-            Extent::Unproven if since <= deadline => late,
-            Extent::Unproven => self.sooner(stalled, since, deadline, MAX_UNPROVEN_WAIT),
-            Extent::Long => self.sooner(stalled, since, deadline, MAX_LONG_WAIT),
+        match self.length_class() {
+            LengthClass::Short => late,
+            LengthClass::Unknown if since <= deadline => late,
+            LengthClass::Unknown => self.sooner(stalled, since, deadline, MAX_UNKNOWN_LENGTH_WAIT),
+            LengthClass::Long => self.sooner(stalled, since, deadline, MAX_LONG_WAIT),
         }
     }
 
--- a/node/src/body/download.rs
+++ b/node/src/body/download.rs
@@ -1,6 +1,6 @@
 //! An answer that is passed on as it comes.
 
-use super::answer_limit::{AnswerLimit, Extent};
+use super::answer_limit::{AnswerLimit, LengthClass};
 use super::interruption::AnswerInterruption;
 use bytes::Bytes;
 use http_body_util::{Either, Full};
@@ -72,7 +72,7 @@
     /// The backend that it comes from.
     pub backend: SocketAddr,
     /// What is known of its length.
-    pub extent: Extent,
+    pub length_class: LengthClass,
     /// Bytes that have come from it.
     pub received: u64,
     /// When the last of them came.
@@ -116,8 +116,8 @@
     /// What has come of it so far.
     pub fn progress(&self) -> Progress {
         let (backend, last_received) = (self.backend, self.last_received);
-        let (extent, received) = (self.limit.extent(), self.limit.received());
-        Progress { backend, extent, received, last_received }
+        let (extent, received) = (self.limit.length_class(), self.limit.received());
+        Progress { backend, length_class: extent, received, last_received }
     }
 
     fn release(&mut self) {
--- a/node/src/body/gather.rs
+++ b/node/src/body/gather.rs
@@ -11,9 +11,9 @@
     /// All of it.
     Whole(Bytes),
     /// What has come so far, and the rest.
-    Part(Bytes, Incoming),
+    Partial(Bytes, Incoming),
     /// It broke off, or it was malformed.
-    Broken,
+    Failed,
 }
 
 /// The bytes gathered so far. Most bodies come in one frame, which is kept as it is.
@@ -56,18 +56,18 @@
             return Gathered::Whole(buffer.into_bytes());
         }
         if buffer.len() > MAX_BUFFERED_BYTES {
-            return Gathered::Part(buffer.into_bytes(), body);
+            return Gathered::Partial(buffer.into_bytes(), body);
         }
         let frame = match until {
             None => body.frame().await,
             Some(until) => match timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) => return Gathered::Part(buffer.into_bytes(), body),
+                Err(_) => return Gathered::Partial(buffer.into_bytes(), body),
             },
         };
         match frame {
             None => return Gathered::Whole(buffer.into_bytes()),
-            Some(Err(_)) => return Gathered::Broken,
+            Some(Err(_)) => return Gathered::Failed,
             Some(Ok(frame)) => {
                 // Trailers concern the connection that they came on, and go no further.
                 if let Ok(data) = frame.into_data() {
--- a/node/src/body/upload.rs
+++ b/node/src/body/upload.rs
@@ -126,7 +126,7 @@
     }
 
     /// Waits for its end; an error where the client does not send what it said.
-    pub async fn ended(&self) -> Result<(), UploadInterruption> {
+    pub async fn wait_end(&self) -> Result<(), UploadInterruption> {
         loop {
             match self.state.get() {
                 State::Open => self.changed.notified().await,
--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -1,7 +1,7 @@
 //! The counter client: one call out per connection, so that a late answer is never another call's.
 
 use crate::clock::Clock;
-use crate::link::{head_length, Broken, Link, SETTLE};
+use crate::link::{head_length, Link, SendError, REUSE_DELAY};
 use bytes::Bytes;
 use caperwind::{CounterKey, CounterResult, CounterSettings as Limits, Micros};
 use http_body_util::{BodyExt, Either, Full, Limited};
@@ -157,7 +157,7 @@
     /// open. A new one takes a round trip of its call's time, and may be one that never comes up.
     fn reuse(&self) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= SETTLE) {
+        while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= REUSE_DELAY) {
             let (link, since) = idle.remove(at);
             if link.usable() && since.elapsed() < IDLE_TIMEOUT {
                 return Some(link);
@@ -183,7 +183,7 @@
             }
             // Danger: one closed to make room for another is seen by the counter some time later: there would be more
             // than it holds. Where those that have not settled take up all places, the first of them is waited for.
-            let settled = self.idle.borrow().first().map(|(_, since)| *since + SETTLE)?;
+            let settled = self.idle.borrow().first().map(|(_, since)| *since + REUSE_DELAY)?;
             timeout_at(until, sleep_until(settled)).await.ok()?;
         }
     }
@@ -203,7 +203,7 @@
     let length = head_length(&request);
     let answer = match link.send(request, || Some(length)).await {
         Ok(answer) => answer,
-        Err(Broken { written: true }) => return (CounterResult::Unanswered, None),
+        Err(SendError { fully_written: true }) => return (CounterResult::Unanswered, None),
         Err(_) => return (CounterResult::NotAdded, None),
     };
     let status = answer.status().as_u16();
--- a/node/src/discovery/agent.rs
+++ b/node/src/discovery/agent.rs
@@ -2,7 +2,7 @@
 
 use super::patience::Trouble;
 use crate::endpoints::List;
-use crate::meter::{Meter, Metered};
+use crate::meter::{Meter, MeteredStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
@@ -36,8 +36,9 @@
         let stream = stream.map_err(|_| Failure::Silent("connect: no answer"))?;
         let stream = stream.map_err(|e| format!("connect: {e}"))?;
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        let (sender, conn) =
-            http1::handshake(TokioIo::new(Metered(Meter::new(stream)))).await.map_err(|e| e.to_string())?;
+        let (sender, conn) = http1::handshake(TokioIo::new(MeteredStream(Meter::new(stream))))
+            .await
+            .map_err(|e| e.to_string())?;
         let task = tokio::task::spawn_local(conn).abort_handle();
         Ok(Agent { address, sender, task })
     }
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -224,7 +224,7 @@
             return Err((StatusCode::CONFLICT, "a request of this X-Correlation-Id is open\n"));
         }
         let now = self.0.clock.now();
-        let coming = matches!(message.body, Payload::Coming(_));
+        let coming = matches!(message.body, Payload::Streamed(_));
         let whole = if coming { 0 } else { now };
         let wait = terms.wait.saturating_sub(DEADLINE_MARGIN) + if coming { UPLOAD } else { 0 };
         let mut deadline = now + wait;
@@ -289,7 +289,7 @@
     pub fn bar(&self, name: &str, out: bool) {
         let mut core = self.0.core.borrow_mut();
         let backend = core.backends.bar(name, out);
-        self.0.pool.bar(backend, out);
+        self.0.pool.set_disabled(backend, out);
         core.events.push_back(Event::BackendDisabled { backend, disabled: out });
         self.run(&mut core, self.0.clock.now());
     }
@@ -376,7 +376,7 @@
     /// A backend is gone.
     fn leaves(&self, core: &mut Core, name: &str) {
         if let Some(id) = core.backends.remove(name, self.0.clock.now()) {
-            self.0.pool.forget(id);
+            self.0.pool.remove_backend(id);
         }
     }
 
@@ -387,7 +387,7 @@
             self.leaves(core, &endpoint.name);
         } else {
             let ready = row.state == BackendState::Ready;
-            self.0.pool.set(row.backend, endpoint.address, ready, same_process);
+            self.0.pool.update_backend(row.backend, endpoint.address, ready, same_process);
         }
         Some(row)
     }
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -2,7 +2,7 @@
 
 use super::timers::Due;
 use super::{Core, Out, Reply, Shared};
-use crate::backend::{AttemptLimits, ClientClosed, Finish};
+use crate::backend::{AttemptLimits, ClientClosed, CompletedAttempt};
 use crate::guard::{EarlierAttempt, RepeatFacts};
 use crate::reasons::outcome_name;
 use caperwind::{
@@ -62,7 +62,7 @@
             Action::Probe { backend } => {
                 let driver = self.clone();
                 tokio::task::spawn_local(async move {
-                    let Finish { outcome, load, .. } = driver.0.pool.probe(backend).await;
+                    let CompletedAttempt { outcome, load, .. } = driver.0.pool.probe(backend).await;
                     let elapsed = driver.0.clock.now().saturating_sub(now);
                     driver.feed(Event::Probed { backend, outcome, elapsed, load });
                 });
@@ -85,7 +85,7 @@
         let Some(open) = core.requests.get_mut(&id) else { return };
         let attempt = open.attempts;
         open.attempts = attempt.saturating_add(1);
-        let spent = open.message.spent();
+        let spent = open.message.body_consumed();
         let facts = RepeatFacts {
             effect: open.effect,
             earlier: &open.history,
@@ -126,7 +126,14 @@
     }
 
     /// The one end of an attempt that is out. A task that still runs is stopped, which closes its connection.
-    pub(super) fn end(&self, core: &mut Core, now: Micros, id: RequestId, attempt: u8, finish: Finish) {
+    pub(super) fn end(
+        &self,
+        core: &mut Core,
+        now: Micros,
+        id: RequestId,
+        attempt: u8,
+        finish: CompletedAttempt,
+    ) {
         let Some(open) = core.requests.get_mut(&id) else { return };
         let Some(at) = open.out.iter().position(|o| o.attempt == attempt) else { return };
         let out = open.out.swap_remove(at);
@@ -140,18 +147,18 @@
             outcome_name(finish.outcome),
             now.saturating_sub(out.sent)
         );
-        let Finish { outcome, load, billed, answer } = finish;
+        let CompletedAttempt { outcome, load, billed_units: billed, answer } = finish;
         if let (Some(answer), Some(reply)) = (answer, open.reply.take_if(|_| outcome == Outcome::Ok)) {
             drop(reply.send(Reply::Served(Box::new(answer))));
         }
         let (settled, last) = (open.reply.is_none(), open.out.is_empty());
         // A backend begins once it has all of a request.
-        let (spent, began) = (open.message.spent(), out.sent.max(open.whole));
+        let (spent, began) = (open.message.body_consumed(), out.sent.max(open.whole));
         core.tally.attempt(outcome);
         if settled && last {
             core.forget(id);
         }
-        let finish = Finish { outcome, load, billed, answer: None };
+        let finish = CompletedAttempt { outcome, load, billed_units: billed, answer: None };
         let elapsed = now.saturating_sub(began);
         core.events.push_back(ended(id, out.attempt, out.backend, elapsed, settled, spent, finish));
     }
@@ -202,7 +209,7 @@
     elapsed: Micros,
     settled: bool,
     spent: bool,
-    f: Finish,
+    f: CompletedAttempt,
 ) -> Event {
     Event::AttemptEnded(AttemptResult {
         id,
@@ -212,7 +219,7 @@
         elapsed,
         request_done: settled,
         quota_use: None,
-        billed_units: f.billed,
+        billed_units: f.billed_units,
         load: f.load,
         body_consumed: spent,
     })
--- a/node/src/link.rs
+++ b/node/src/link.rs
@@ -1,7 +1,7 @@
 //! Client connections over sockets that count: one request at a time.
 
 use crate::body::upload::RequestBody;
-use crate::meter::{Meter, Metered, HEAD_BYTES};
+use crate::meter::{Meter, MeteredStream, MAX_HEAD_BYTES};
 use hyper::body::Incoming;
 use hyper::client::conn::http1;
 use hyper::{Request, Response};
@@ -15,12 +15,12 @@
 
 /// A link is not used again sooner after its last answer. Danger: an answer names no request, and a second one to the
 /// last request, which was seen to come up to 4 ms after it, would be taken for the next one's.
-pub const SETTLE: Duration = Duration::from_millis(10);
+pub const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// A request that got no answer.
-pub struct Broken {
+pub struct SendError {
     /// Whether its last byte had been written: only then may it have run.
-    pub written: bool,
+    pub fully_written: bool,
 }
 
 /// A connection that carries one request at a time; dropping it closes the socket.
@@ -45,9 +45,9 @@
         stream.set_nodelay(true)?;
         let meter = Meter::new(stream);
         let mut http = http1::Builder::new();
-        http.max_buf_size(HEAD_BYTES);
+        http.max_buf_size(MAX_HEAD_BYTES);
         let (sender, conn) =
-            http.handshake(TokioIo::new(Metered(meter.clone()))).await.map_err(io::Error::other)?;
+            http.handshake(TokioIo::new(MeteredStream(meter.clone()))).await.map_err(io::Error::other)?;
         let task = tokio::task::spawn_local(async move { drop(conn.await) }).abort_handle();
         Ok(Link { sender, meter, task })
     }
@@ -56,7 +56,7 @@
     /// stands behind an answer would be taken for the next one's; the library ends the connection over what
     /// it has read of that, and the rest waits in the socket.
     pub fn usable(&self) -> bool {
-        !self.sender.is_closed() && self.meter.quiet()
+        !self.sender.is_closed() && self.meter.is_open_and_empty()
     }
 
     /// Bytes written to the socket so far.
@@ -70,8 +70,8 @@
     }
 
     /// Waits until a request can be sent; an error where the connection has ended.
-    pub async fn ready(&mut self) -> Result<(), Broken> {
-        self.sender.ready().await.map_err(|_| Broken { written: false })
+    pub async fn ready(&mut self) -> Result<(), SendError> {
+        self.sender.ready().await.map_err(|_| SendError { fully_written: false })
     }
 
     /// Sends a request and waits for the head of its answer. `length` is what it takes on the wire, `None` as
@@ -80,14 +80,14 @@
         &mut self,
         request: Request<RequestBody>,
         length: impl Fn() -> Option<u64>,
-    ) -> Result<Response<Incoming>, Broken> {
+    ) -> Result<Response<Incoming>, SendError> {
         self.ready().await?;
         let before = self.meter.written();
         self.sender.try_send_request(request).await.map_err(|e| {
             // A message that comes back was never begun.
             let written =
                 e.message().is_none() && length().is_some_and(|n| self.meter.written() - before >= n);
-            Broken { written }
+            SendError { fully_written: written }
         })
     }
 }
--- a/node/src/meter.rs
+++ b/node/src/meter.rs
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 
 /// A head longer than this is no head.
-pub const HEAD_BYTES: usize = 16 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Heads are seldom longer.
 const SHORT_HEAD: usize = 1024;
 /// What has come behind a request in work is read ahead up to this, in steps, so that the client's end behind it
@@ -70,7 +70,7 @@
     written: Cell<u64>,
     /// The socket took no more at the last write: its user holds bytes that are still to be written.
     write_blocked: Cell<bool>,
-    /// What has been read since `listen`, up to the end of a head; for those who want it.
+    /// What has been read since `record_next_head`, up to the end of a head; for those who want it.
     head: RefCell<Option<Vec<u8>>>,
     /// Told once this much has been written: the request that goes out is whole then.
     goal: RefCell<Option<(u64, Rc<Cell<u64>>)>>,
@@ -126,7 +126,7 @@
     }
 
     /// From now on keeps the next head as it comes.
-    pub fn listen(&self) {
+    pub fn record_next_head(&self) {
         let mut head = self.head.borrow_mut();
         let mut kept = head.take().unwrap_or_default();
         kept.clear();
@@ -135,7 +135,7 @@
 
     /// Whether the head that was kept is whole and names this field. Danger: of a length that stands beside
     /// chunks the library tells nothing, and a backend may go by it.
-    pub fn names(&self, field: &str) -> Option<bool> {
+    pub fn recorded_head_has_field(&self, field: &str) -> Option<bool> {
         let head = self.head.borrow();
         let mut lines = head.as_deref()?.split(|b| *b == b'\n').map(|l| l.trim_ascii_end());
         let mut named = false;
@@ -149,7 +149,7 @@
 
     fn keep(&self, bytes: &[u8]) {
         if let Some(head) = self.head.borrow_mut().as_mut() {
-            let room = HEAD_BYTES.saturating_sub(head.len());
+            let room = MAX_HEAD_BYTES.saturating_sub(head.len());
             // What comes behind a head is not looked at: a large body is not kept.
             if head.len() < SHORT_HEAD || !head.windows(4).any(|w| w == b"\r\n\r\n") {
                 head.extend_from_slice(&bytes[..bytes.len().min(room)]);
@@ -158,7 +158,7 @@
     }
 
     /// Whether the socket is open and holds nothing unread, as the kernel has it at this moment.
-    pub fn quiet(&self) -> bool {
+    pub fn is_open_and_empty(&self) -> bool {
         self.ahead.borrow().bytes.is_empty()
             && self.peek().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -197,7 +197,7 @@
     }
 
     /// Waits until the runtime is told that the other side has ended its sending, whatever stands unread.
-    pub async fn closed(&self) {
+    pub async fn wait_peer_closed(&self) {
         let Ok(stream) = self.stream() else { return };
         let told = stream.ready(Interest::PRIORITY).await;
         if told.is_ok_and(|ready| !ready.is_read_closed()) {
@@ -208,7 +208,7 @@
     /// Reads on while the socket's user does not, up to the bounds; ready where the other side has ended, or
     /// sends without end. With `skips`, what goes beyond is thrown away, and the user gets nothing more. Danger: an end
     /// behind more than the sockets hold reaches this machine only as that is read.
-    pub fn poll_ahead(&self, cx: &mut Context<'_>, budget: &Budget, skips: bool) -> Poll<()> {
+    pub fn poll_read_ahead(&self, cx: &mut Context<'_>, budget: &Budget, skips: bool) -> Poll<()> {
         let Ok(stream) = self.stream() else { return Poll::Ready(()) };
         let mut ahead = self.ahead.borrow_mut();
         loop {
@@ -237,7 +237,7 @@
     }
 
     /// Whether bytes were thrown away: no request can follow.
-    pub fn skipped(&self) -> bool {
+    pub fn has_discarded(&self) -> bool {
         self.ahead.borrow().skipped > 0
     }
 }
@@ -267,9 +267,9 @@
 }
 
 /// Counts the bytes that go through the socket.
-pub struct Metered(pub Rc<Meter>);
+pub struct MeteredStream(pub Rc<Meter>);
 
-impl Metered {
+impl MeteredStream {
     fn note(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         self.0.write_blocked.set(done.is_pending());
         if let Poll::Ready(Ok(n)) = done {
@@ -283,11 +283,11 @@
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let (meter, before) = (&self.0, buf.filled().len());
         if meter.ahead.borrow().bytes.is_empty() {
-            if meter.skipped() {
+            if meter.has_discarded() {
                 return Poll::Pending;
             }
             let stream = meter.stream()?;
@@ -301,7 +301,7 @@
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let stream = self.0.stream()?;
         self.note(poll_io(|| stream.poll_write_ready(cx), || stream.try_write(buf)))
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -3,7 +3,7 @@
 use crate::driver::Shared;
 use crate::figures::Figures;
 use crate::handover::{Handover, Message};
-use crate::meter::{Meter, Metered};
+use crate::meter::{Meter, MeteredStream};
 use crate::server::Server;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -85,7 +85,7 @@
         let mut http = http1::Builder::new();
         http.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
         // An error here is the caller's.
-        drop(http.serve_connection(TokioIo::new(Metered(Meter::new(stream))), service).await);
+        drop(http.serve_connection(TokioIo::new(MeteredStream(Meter::new(stream))), service).await);
     }
 
     /// Danger: half a call must do nothing: it counts once its last byte has come.
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -238,9 +238,9 @@
         let other = *held.borrow_and_update();
         let bounds = other.map_or(alone, |other| paired.beside(other));
         server.hold(bounds.clients);
-        pool.hold(bounds.backends);
+        pool.set_max_connections(bounds.backends);
         counter.set_max_connections(bounds.counter);
-        let own = Held { clients: server.held(), backends: pool.held() };
+        let own = Held { clients: server.held(), backends: pool.open_connections() };
         if other.is_some() && own != told {
             others.tell(&Message::Held(own));
             told = own;
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -9,7 +9,7 @@
 use crate::figures::Figures;
 use crate::guard::Violation;
 use crate::logging::LimitedLog;
-use crate::meter::{Metered, HEAD_BYTES};
+use crate::meter::{MeteredStream, MAX_HEAD_BYTES};
 use crate::reasons::CloseReason;
 use connection::{ClientConnection, CutReason, EvictionRank, Phase, ABOUT_TO_ASK};
 use http_body_util::Either;
@@ -248,7 +248,7 @@
                     // The end of an answer that its client takes slowly is still on its way.
                     Phase::Idle if client.answering() => {}
                     Phase::Idle if age >= 2 * IDLE_TIMEOUT => client.cut(CutReason::ClientStopped),
-                    Phase::Idle if age >= IDLE_TIMEOUT && client.meter.quiet() => {
+                    Phase::Idle if age >= IDLE_TIMEOUT && client.meter.is_open_and_empty() => {
                         client.dismiss(CloseReason::Idle)
                     }
                     _ => {}
@@ -280,7 +280,7 @@
                 let flows = matches!(answer.body(), Either::Right(_));
                 client.begin_answer();
                 client.enter(if flows { Phase::Reply } else { Phase::Idle });
-                if server.driver.closing() || server.driver.draining() || client.meter.skipped() {
+                if server.driver.closing() || server.driver.draining() || client.meter.has_discarded() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 client.last_answer.set(answer.headers().contains_key(CONNECTION));
@@ -289,8 +289,9 @@
         });
         let mut http = http1::Builder::new();
         // Times are kept by `watch`, over all connections at once.
-        http.header_read_timeout(None).max_buf_size(HEAD_BYTES);
-        let mut conn = pin!(http.serve_connection(TokioIo::new(Metered(client.meter.clone())), service));
+        http.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
+        let mut conn =
+            pin!(http.serve_connection(TokioIo::new(MeteredStream(client.meter.clone())), service));
         let mut departure = pin!(self.departure(client));
         let mut told = false;
         loop {
@@ -311,11 +312,11 @@
     /// Waits until the client closes its connection while its request waits. Danger: the library reads no
     /// further than that request; of whose client has left is then sent on for nobody.
     async fn departure(&self, client: &ClientConnection) {
-        let mut closed = pin!(client.meter.closed());
+        let mut closed = pin!(client.meter.wait_peer_closed());
         poll_fn(|cx| match client.phase() {
             _ if !client.waiting() => Poll::Pending,
             _ if closed.as_mut().poll(cx).is_ready() => Poll::Ready(()),
-            phase => client.meter.poll_ahead(cx, &self.bodies, phase == Phase::Work),
+            phase => client.meter.poll_read_ahead(cx, &self.bodies, phase == Phase::Work),
         })
         .await
     }
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -1,6 +1,6 @@
 //! A client's connection: what it is doing, and how long it may take for that.
 
-use crate::body::answer_limit::{Extent, STALL_TIMEOUT};
+use crate::body::answer_limit::{LengthClass, STALL_TIMEOUT};
 use crate::body::download::Progress;
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
 use crate::body::upload::Backpressure;
@@ -149,7 +149,7 @@
             guard,
             task: OnceCell::new(),
         };
-        connection.meter.listen();
+        connection.meter.record_next_head();
         Rc::new(connection)
     }
 
@@ -183,7 +183,7 @@
             self.backpressure.reset();
         }
         if phase == Phase::Idle {
-            self.meter.listen();
+            self.meter.record_next_head();
         }
     }
 
@@ -202,7 +202,7 @@
     pub fn overdue(&self) -> bool {
         let by_bytes = Duration::from_secs_f64(self.read_in_phase() as f64 / MIN_UPLOAD_RATE);
         let late = self.age() >= REQUEST_TIMEOUT + by_bytes + self.backpressure.paused();
-        late && !self.meter.write_blocked() && self.meter.quiet()
+        late && !self.meter.write_blocked() && self.meter.is_open_and_empty()
     }
 
     /// Begins to watch how an answer is taken.
@@ -233,7 +233,7 @@
 
     /// Whether the answer that it passes on is known to be long.
     pub fn answer_is_long(&self) -> bool {
-        self.progress.get().is_some_and(|progress| progress.extent == Extent::Long)
+        self.progress.get().is_some_and(|progress| progress.length_class == LengthClass::Long)
     }
 
     /// Whether its client has stopped sending a body that was answered early, and nothing comes of that answer
@@ -254,7 +254,7 @@
 
     /// Nothing has come, read or not: closing it cuts nothing that has begun.
     pub fn nothing_begun(&self) -> bool {
-        self.untouched() && self.meter.quiet()
+        self.untouched() && self.meter.is_open_and_empty()
     }
 
     /// It has just come, has said nothing, and may be about to ask.
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -78,7 +78,7 @@
         };
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
         // Danger: what one reader takes for a body may hold a request for another, who goes by the length.
-        if chunked && client.meter.names("content-length") != Some(false) {
+        if chunked && client.meter.recorded_head_has_field("content-length") != Some(false) {
             return last(StatusCode::BAD_REQUEST, "two lengths\n");
         }
         client.take_request(&terms.id);
@@ -135,7 +135,7 @@
         }
         let gathered = match &reservation {
             Some(_) => gather(body, None).await,
-            None => Gathered::Part(Bytes::new(), body),
+            None => Gathered::Partial(Bytes::new(), body),
         };
         match (gathered, reservation) {
             (Gathered::Whole(body), Some(reservation)) => {
@@ -147,11 +147,11 @@
                 let payload = Payload::Whole { body, _reservation: reservation };
                 Ok(Received::Whole { payload, taken: self.figures.take() })
             }
-            (Gathered::Part(..), _) if head.method == Method::GET => {
+            (Gathered::Partial(..), _) if head.method == Method::GET => {
                 upload.interrupt(UploadInterruption::AnsweredEarly);
                 Err((StatusCode::BAD_REQUEST, "GET takes no body\n"))
             }
-            (Gathered::Part(first, rest), reservation) => {
+            (Gathered::Partial(first, rest), reservation) => {
                 let backpressure = client.backpressure.clone();
                 Ok(Received::Coming(UploadSource::new(first, reservation, rest, length, backpressure)))
             }
@@ -180,7 +180,7 @@
         client: &Rc<ClientConnection>,
     ) -> Answer {
         let wait = terms.wait;
-        let message = message(head, Payload::Coming(source.clone()), wait, client);
+        let message = message(head, Payload::Streamed(source.clone()), wait, client);
         let mut ticket = match self.submit(message, terms) {
             Ok(ticket) => ticket,
             Err((status, text)) => {
@@ -190,7 +190,7 @@
         };
         let early = tokio::select! {
             reply = ticket.answer() => Some(reply),
-            ended = source.ended() => {
+            ended = source.wait_end() => {
                 if let Err(why) = ended {
                     upload.interrupt(why);
                     return last(StatusCode::BAD_REQUEST, "broken body\n");
--- a/node/tests/answer_limit.rs
+++ b/node/tests/answer_limit.rs
@@ -1,7 +1,7 @@
 //! How long the next bytes of an answer are waited for, by the clock of the test.
 
 use badgerglade::body::answer_limit::{
-    AnswerLimit, Extent, LATE_GRACE, MAX_LONG_WAIT, MAX_UNPROVEN_WAIT, STALL_TIMEOUT,
+    AnswerLimit, LengthClass, LATE_GRACE, MAX_LONG_WAIT, MAX_UNKNOWN_LENGTH_WAIT, STALL_TIMEOUT,
 };
 use badgerglade::body::interruption::AnswerInterruption;
 use badgerglade::body::MAX_BUFFERED_BYTES;
@@ -30,11 +30,11 @@
 
 #[test]
 fn what_is_known_of_a_length() {
-    let extent = |length, received| AnswerLimit::new(length, received).extent();
-    assert_eq!(extent(Some(MAX_BUFFERED), 0), Extent::Short);
-    assert_eq!(extent(Some(MAX_BUFFERED + 1), 0), Extent::Long);
-    assert_eq!(extent(None, MAX_BUFFERED), Extent::Unproven);
-    assert_eq!(extent(None, MAX_BUFFERED + 1), Extent::Long);
+    let extent = |length, received| AnswerLimit::new(length, received).length_class();
+    assert_eq!(extent(Some(MAX_BUFFERED), 0), LengthClass::Short);
+    assert_eq!(extent(Some(MAX_BUFFERED + 1), 0), LengthClass::Long);
+    assert_eq!(extent(None, MAX_BUFFERED), LengthClass::Unknown);
+    assert_eq!(extent(None, MAX_BUFFERED + 1), LengthClass::Long);
 }
 
 #[test]
@@ -49,7 +49,7 @@
 #[test]
 fn an_answer_that_trickles_is_given_up() {
     let (after, why) = trickle(AnswerLimit::new(None, 1), SECOND / 5, 1);
-    assert_eq!((after, why), (SECOND + MAX_UNPROVEN_WAIT, AnswerInterruption::TooSlow));
+    assert_eq!((after, why), (SECOND + MAX_UNKNOWN_LENGTH_WAIT, AnswerInterruption::TooSlow));
     let (after, why) = trickle(AnswerLimit::new(Some(30 << 20), 1), SECOND, 1);
     assert_eq!((after, why), (SECOND + MAX_LONG_WAIT, AnswerInterruption::TooSlow));
 }
--- a/node/tests/metered.rs
+++ b/node/tests/metered.rs
@@ -1,7 +1,7 @@
 //! Sockets that know what goes through them and when the other side has ended.
 
 use badgerglade::body::upload::RequestBody;
-use badgerglade::link::{head_length, Broken, Link};
+use badgerglade::link::{head_length, Link, SendError};
 use badgerglade::meter::Meter;
 use bytes::Bytes;
 use http_body_util::{Either, Full};
@@ -51,7 +51,7 @@
         };
         let (answer, got) = tokio::join!(link.send(post(b"{42}".to_vec()), || Some(length)), reads);
         assert_eq!((got, link.written()), (length, length));
-        assert!(matches!(answer, Err(Broken { written: true })));
+        assert!(matches!(answer, Err(SendError { fully_written: true })));
     });
 }
 
@@ -70,7 +70,7 @@
         };
         let (answer, ()) = tokio::join!(link.send(request, || Some(length)), breaks);
         assert!(link.written() > 0 && link.written() < length);
-        assert!(matches!(answer, Err(Broken { written: false })));
+        assert!(matches!(answer, Err(SendError { fully_written: false })));
     });
 }
 
@@ -104,10 +104,10 @@
         for bytes in [0, 20, 20_000] {
             let (mut there, meter) = client().await;
             there.write_all(&vec![b'x'; bytes]).expect("room");
-            assert!(timeout(Duration::from_millis(20), meter.closed()).await.is_err());
+            assert!(timeout(Duration::from_millis(20), meter.wait_peer_closed()).await.is_err());
             assert!(!meter.peer_closed());
             drop(there);
-            timeout(LONG, meter.closed()).await.expect("the end is told");
+            timeout(LONG, meter.wait_peer_closed()).await.expect("the end is told");
             assert!(meter.peer_closed(), "{bytes} bytes before it");
         }
     });
--- a/node/tests/pool.rs
+++ b/node/tests/pool.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use badgerglade::backend::load_report::{parse_billed, parse_load};
-use badgerglade::backend::pool::shorter;
-use badgerglade::backend::{AttemptLimits, ClientClosed, Finish, Message, Payload, Pool};
+use badgerglade::backend::load_report::{parse_billed_units, parse_load_report};
+use badgerglade::backend::pool::shortened_idle_timeout;
+use badgerglade::backend::{AttemptLimits, ClientClosed, CompletedAttempt, Message, Payload, Pool};
 use badgerglade::body::budget::Budget;
 use badgerglade::body::download::Deadline;
 use badgerglade::config::{Bounds, Setup};
@@ -51,7 +51,7 @@
         body_bytes: 1 << 20,
         idle_retire: LONG,
     });
-    pool.set(ID, backend, true, false);
+    pool.update_backend(ID, backend, true, false);
     pool
 }
 
@@ -81,7 +81,7 @@
     AttemptLimits { deadline: Deadline::new(deadline), begin_by: None }
 }
 
-async fn attempt(pool: &Rc<Pool>, message: &Message) -> Result<Finish, ClientClosed> {
+async fn attempt(pool: &Rc<Pool>, message: &Message) -> Result<CompletedAttempt, ClientClosed> {
     pool.attempt(ID, message, &limits(Instant::now() + LONG)).await
 }
 
@@ -103,7 +103,7 @@
             drop(goes);
             assert!(attempt(&pool, &message).await.is_err(), "sent on, a connection at hand: {at_hand}");
             // The connection at hand is still there for the next one.
-            assert_eq!(pool.held(), usize::from(at_hand));
+            assert_eq!(pool.open_connections(), usize::from(at_hand));
             let (_stays, message) = client().await;
             assert!(attempt(&pool, &message).await.is_ok_and(|f| f.outcome == Outcome::Ok));
             backend.next();
@@ -150,7 +150,7 @@
         // Given up, the first one's room is free at once.
         out.abort();
         assert!(out.await.is_err());
-        assert_eq!(pool.held(), 0);
+        assert_eq!(pool.open_connections(), 0);
     });
 }
 
@@ -159,17 +159,17 @@
 #[test]
 fn connections_let_go_after_a_tenth_of_a_second_are_not_kept_for_longer() {
     let told = Duration::from_secs(9);
-    assert!(shorter(told, Duration::from_millis(120)) < Duration::from_millis(100));
-    assert!(shorter(told, Duration::from_millis(400)) < Duration::from_millis(400));
-    assert_eq!(shorter(told, Duration::from_millis(2)), told);
+    assert!(shortened_idle_timeout(told, Duration::from_millis(120)) < Duration::from_millis(100));
+    assert!(shortened_idle_timeout(told, Duration::from_millis(400)) < Duration::from_millis(400));
+    assert_eq!(shortened_idle_timeout(told, Duration::from_millis(2)), told);
 }
 
 /// Guards against a quota emptied or filled by units that no request can take.
 #[test]
 fn billed_units_that_can_not_be_read_are_not_told() {
-    assert_eq!(["3", " 2.5 ", "0"].map(|t| parse_billed(t, 6.0)), [Some(3.0), Some(2.5), Some(0.0)]);
+    assert_eq!(["3", " 2.5 ", "0"].map(|t| parse_billed_units(t, 6.0)), [Some(3.0), Some(2.5), Some(0.0)]);
     let odd = ["", "x", "-1", "nan", "inf", "6.1", "1e300", "3,4"];
-    assert!(odd.iter().all(|t| parse_billed(t, 6.0).is_none()));
+    assert!(odd.iter().all(|t| parse_billed_units(t, 6.0).is_none()));
 }
 
 /// Guards against figures that can't be read being taken for load: neither they nor what is missing
@@ -178,7 +178,7 @@
 fn a_load_figure_that_can_not_be_read_is_not_told() {
     let fields = [LoadField::ServiceTimeMs, LoadField::ServedPerSecond, LoadField::Waiting];
     let told = |text| {
-        let load = parse_load(&fields, text);
+        let load = parse_load_report(&fields, text);
         load.values.map(|v| v.is_finite().then_some(v))[..usize::from(load.len)].to_vec()
     };
     assert_eq!(told("TEXT avg_ms=7.5, rps=2, waiting=0"), [Some(7.5), Some(2.0), Some(0.0)]);
