--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -1,6 +1,6 @@
 //! What a gateway is told: the NODE_* variables and the JSON file they name, at its start and on SIGHUP.
 
-use crate::endpoints::List;
+use crate::endpoints::EndpointList;
 use crate::hash::fnv1a;
 use caperwind::Config;
 use serde::de::DeserializeOwned;
@@ -36,7 +36,7 @@
     #[serde(default)]
     seed: String,
     limits: Option<Limits>,
-    known: Option<List>,
+    known: Option<EndpointList>,
     settings: serde_json::Value,
 }
 
@@ -48,20 +48,20 @@
 
 /// Connections that a process holds.
 #[derive(Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct OpenConnections {
     pub clients: usize,
     pub backends: usize,
 }
 
 /// Bounds on connections, so that all of them together fit the descriptor limit.
 #[derive(Clone, Copy)]
-pub struct Bounds {
+pub struct ConnectionLimits {
     pub clients: usize,
     pub backends: usize,
     pub counter: usize,
 }
 
-impl Bounds {
+impl ConnectionLimits {
     /// For so many processes together, but `counter`, which is for each. A limit that could not be kept is an error.
     fn of(descriptors: usize, processes: usize, counter: usize) -> Result<Self, String> {
         let set_apart = processes * (SPARE_DESCRIPTORS + counter + OPS_CONNECTIONS);
@@ -70,14 +70,14 @@
             return Err(format!("limits: {descriptors} descriptors, at least {least} are needed"));
         }
         let share = (descriptors - set_apart) / 2;
-        Ok(Bounds { clients: share, backends: share, counter })
+        Ok(ConnectionLimits { clients: share, backends: share, counter })
     }
 
     /// What another process leaves of what both may hold, and some in any case: without, nothing moves.
-    pub fn beside(self, other: Held) -> Self {
+    pub fn beside(self, other: OpenConnections) -> Self {
         let left = |most: usize, held: usize| most.saturating_sub(held).max(most / 8);
         let (clients, backends) = (left(self.clients, other.clients), left(self.backends, other.backends));
-        Bounds { clients, backends, ..self }
+        ConnectionLimits { clients, backends, ..self }
     }
 }
 
@@ -90,22 +90,22 @@
     /// Where operators call, if anywhere.
     pub ops: Option<SocketAddr>,
     pub seed: u64,
-    pub known: Option<List>,
-    pub module: Config,
+    pub initial_list: Option<EndpointList>,
+    pub decision_config: Config,
     /// Descriptors that all processes of this gateway may hold together.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Bounds on connections while this process serves alone, and for two together.
-    pub alone: Bounds,
-    pub paired: Bounds,
+    pub solo_limits: ConnectionLimits,
+    pub paired_limits: ConnectionLimits,
     /// The clients' listening socket, where the platform holds it.
-    pub inherited: Option<RawFd>,
+    pub inherited_listener_fd: Option<RawFd>,
     /// Where two processes of this gateway meet.
-    pub meet: Option<PathBuf>,
-    pub ops_connections: usize,
+    pub handover_socket: Option<PathBuf>,
+    pub max_operator_connections: usize,
     /// Bytes that clients' bodies may hold together, and answers as many.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// How long a connection to a backend may stand idle before this side closes it.
-    pub idle_retire: Duration,
+    pub backend_idle_timeout: Duration,
 }
 
 fn address(what: &str, env: &str, file: Option<String>) -> Result<SocketAddr, String> {
@@ -168,18 +168,18 @@
             discovery: address("discovery", "NODE_DISCOVERY", file.discovery)?,
             counter,
             seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| rough_seed(&file.seed)),
-            known: file.known,
-            module,
-            body_bytes,
-            descriptors,
-            alone: Bounds::of(descriptors, 1, COUNTER_CONNECTIONS)?,
-            paired: Bounds::of(descriptors, 2, COUNTER_PAIRED)?,
-            inherited,
-            meet,
-            ops_connections: OPS_CONNECTIONS,
+            initial_list: file.known,
+            decision_config: module,
+            max_body_bytes: body_bytes,
+            max_descriptors: descriptors,
+            solo_limits: ConnectionLimits::of(descriptors, 1, COUNTER_CONNECTIONS)?,
+            paired_limits: ConnectionLimits::of(descriptors, 2, COUNTER_PAIRED)?,
+            inherited_listener_fd: inherited,
+            handover_socket: meet,
+            max_operator_connections: OPS_CONNECTIONS,
             // Danger: a request written to a connection that the backend is closing ends as a reset,
             // which for an unsafe class is a failure. Well before its limit no such race is near.
-            idle_retire: idle_close.mul_f64(0.6),
+            backend_idle_timeout: idle_close.mul_f64(0.6),
         })
     }
 }
--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -21,11 +21,11 @@
 const MAX_ANSWER_BYTES: usize = 1024;
 
 /// Who is told what became of calls.
-pub trait Results {
+pub trait CallObserver {
     /// A call's one result.
-    fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros);
+    fn call_ended(&self, name: CounterKey, result: CounterResult, elapsed: Micros);
     /// What became of a call that was told as overdue.
-    fn counted_late(&self, name: CounterKey, amount: f64, result: CounterResult);
+    fn overdue_call_ended(&self, name: CounterKey, amount: f64, result: CounterResult);
 }
 
 /// Connections to the counter.
@@ -113,7 +113,7 @@
     /// Starts a call.
     pub fn call<R>(self: &Rc<Self>, results: R, clock: Clock, name: CounterKey, amount: f64, life: Micros)
     where
-        R: Results + 'static,
+        R: CallObserver + 'static,
     {
         let (counter, began) = (self.clone(), clock.now());
         self.in_flight.set(self.in_flight.get() + 1);
@@ -122,7 +122,7 @@
             let path = format!("/v2/numbers/{:016x}?delta={amount}&life_ms={}", name.0, (life / 1000).max(1));
             let tell = |result| {
                 counter.in_flight.set(counter.in_flight.get() - 1);
-                results.counted(name, result, clock.now().saturating_sub(began));
+                results.call_ended(name, result, clock.now().saturating_sub(began));
             };
             let Some((permit, link)) = counter.checkout(until).await else {
                 return tell(CounterResult::NotAdded);
@@ -142,7 +142,7 @@
                     tell(CounterResult::Overdue);
                     let (end, link) =
                         timeout(LINGER, call).await.unwrap_or((CounterResult::Unanswered, None));
-                    results.counted_late(name, amount, end);
+                    results.overdue_call_ended(name, amount, end);
                     link
                 }
             };
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -3,7 +3,7 @@
 mod agent;
 pub mod patience;
 
-use crate::endpoints::List;
+use crate::endpoints::EndpointList;
 use agent::{Agent, Failure};
 use caperwind::Discovery;
 use patience::{first_wait, Backoff, Patience, Trouble};
@@ -21,11 +21,11 @@
 /// Who is told what discovery says.
 pub trait Subscriber {
     /// A list, which may be `older` than what is held; true where the whole one is wanted next.
-    fn told(&self, list: List, older: bool) -> bool;
+    fn list_received(&self, list: EndpointList, older: bool) -> bool;
     /// A call told nothing: what is held stays in force.
-    fn failed(&self);
+    fn call_failed(&self);
     /// Whether any backend is known, of whatever list.
-    fn knows_any(&self) -> bool;
+    fn knows_any_backend(&self) -> bool;
 }
 
 /// How the settings want the list followed.
@@ -112,7 +112,7 @@
     /// Takes in that a call told nothing; returns how long to wait before the next one.
     fn failed(&mut self, why: &Failure) -> Duration {
         // Danger: silence or rubbish is no empty list; what is held stays in force.
-        self.subscriber.failed();
+        self.subscriber.call_failed();
         if self.logged.is_none_or(|at| at.elapsed() >= LOG_EVERY) {
             log::warn!("discovery: {why}");
             self.logged = Some(Instant::now());
@@ -141,7 +141,7 @@
                 }
                 None => {
                     let list = agent.ask("/v1/servers", limits.whole).await?;
-                    List { snapshot: true, ..list }
+                    EndpointList { snapshot: true, ..list }
                 }
             };
             // One that has gone back counts from anew: changes to what it held before mean nothing, and a whole
@@ -151,7 +151,7 @@
             self.held = Some(list.index).filter(|_| list.snapshot || !back);
             if self.held.is_some() {
                 self.newest = self.held;
-                if self.subscriber.told(list, back) {
+                if self.subscriber.list_received(list, back) {
                     self.held = None;
                 }
             }
@@ -163,7 +163,7 @@
     /// as told at its return: limits grow there only while no backend is known that might drain.
     fn limits(&self) -> Patience {
         match self.terms.mode {
-            Discovery::Pushed if self.subscriber.knows_any() => self.patience,
+            Discovery::Pushed if self.subscriber.knows_any_backend() => self.patience,
             _ => self.patience.after(self.silences),
         }
     }
--- a/node/src/discovery/agent.rs
+++ b/node/src/discovery/agent.rs
@@ -1,7 +1,7 @@
 //! One connection to discovery, and the calls over it.
 
 use super::patience::Trouble;
-use crate::endpoints::List;
+use crate::endpoints::EndpointList;
 use crate::meter::{Meter, Metered};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -42,7 +42,7 @@
         Ok(Agent { address, sender, task })
     }
 
-    pub(super) async fn ask(&mut self, path: &str, limit: Duration) -> Result<List, Failure> {
+    pub(super) async fn ask(&mut self, path: &str, limit: Duration) -> Result<EndpointList, Failure> {
         let request = hyper::Request::get(path).header("host", self.address.to_string());
         let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
         let call = async {
--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -10,9 +10,9 @@
 use crate::backend::{Message, Payload, Pool};
 use crate::body::download::{AnswerBody, Deadline};
 use crate::clock::Clock;
-use crate::counter::{Counter, Results};
+use crate::counter::{CallObserver, Counter};
 use crate::discovery::Subscriber;
-use crate::endpoints::{Endpoint, List};
+use crate::endpoints::{Endpoint, EndpointList};
 use crate::guard::{EarlierAttempt, Guard};
 use crate::reasons::{Reasons, Refused};
 use backend_list::{BackendList, Listed, MAX_BACKENDS};
@@ -295,7 +295,7 @@
     }
 
     /// What the next process of this gateway is to know beside what the module knows.
-    pub fn listed(&self) -> (List, Vec<String>) {
+    pub fn listed(&self) -> (EndpointList, Vec<String>) {
         self.0.core.borrow().backends.snapshot()
     }
 
@@ -349,14 +349,14 @@
     }
 
     /// The list kept from an earlier life.
-    pub fn backends_known(&self, list: List) {
+    pub fn backends_known(&self, list: EndpointList) {
         if !list.endpoints.is_empty() {
             self.0.ready.set(true);
         }
         self.take_list(list, ListKind::Cached);
     }
 
-    fn take_list(&self, list: List, kind: ListKind) {
+    fn take_list(&self, list: EndpointList, kind: ListKind) {
         let core = &mut *self.0.core.borrow_mut();
         if kind != ListKind::Delta {
             let left_out = core.backends.left_out(&list);
@@ -401,7 +401,7 @@
 
 impl Subscriber for Shared {
     /// News from discovery; true where the module has asked for the whole list.
-    fn told(&self, mut list: List, older: bool) -> bool {
+    fn list_received(&self, mut list: EndpointList, older: bool) -> bool {
         self.0.ready.set(true);
         self.0.told.notify_one();
         if older {
@@ -413,22 +413,22 @@
         std::mem::take(&mut self.0.core.borrow_mut().refetch)
     }
 
-    fn failed(&self) {
+    fn call_failed(&self) {
         self.feed(Event::Backends { kind: ListKind::Failed, version: 0, rows: Vec::new() });
     }
 
-    fn knows_any(&self) -> bool {
+    fn knows_any_backend(&self) -> bool {
         !self.0.core.borrow().backends.is_empty()
     }
 }
 
-impl Results for Shared {
-    fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
+impl CallObserver for Shared {
+    fn call_ended(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
         self.0.core.borrow_mut().tally.call(result);
         self.feed(Event::CounterCallEnded { key: name, result, elapsed });
     }
 
-    fn counted_late(&self, name: CounterKey, amount: f64, result: CounterResult) {
+    fn overdue_call_ended(&self, name: CounterKey, amount: f64, result: CounterResult) {
         self.0.core.borrow_mut().tally.late_call(result);
         self.feed(Event::OverdueCallEnded { key: name, amount, result });
     }
--- a/node/src/driver/backend_list.rs
+++ b/node/src/driver/backend_list.rs
@@ -1,6 +1,6 @@
 //! The backends as discovery and operators have told them.
 
-use crate::endpoints::{Endpoint, List, Status};
+use crate::endpoints::{Endpoint, EndpointList, Status};
 use crate::hash::{fnv1a, fnv1a_step};
 use caperwind::{
     BackendId, BackendRow, BackendState, CellIndex, Config, MachineKindIndex, Micros, ZoneIndex,
@@ -65,9 +65,9 @@
     }
 
     /// All that is listed, and the names of those that are out by hand.
-    pub fn snapshot(&self) -> (List, Vec<String>) {
+    pub fn snapshot(&self) -> (EndpointList, Vec<String>) {
         let endpoints = self.listed.values().map(|(_, e)| e.clone()).collect();
-        (List { index: 0, snapshot: true, endpoints }, self.barred.keys().cloned().collect())
+        (EndpointList { index: 0, snapshot: true, endpoints }, self.barred.keys().cloned().collect())
     }
 
     /// Whether a list that may be older than what is held tells of this backend at all. Danger: what was told to
@@ -87,7 +87,7 @@
     }
 
     /// The names that a whole list leaves out: these are gone.
-    pub fn left_out(&self, list: &List) -> Vec<String> {
+    pub fn left_out(&self, list: &EndpointList) -> Vec<String> {
         let named: HashSet<&str> = list.endpoints.iter().map(|e| e.name.as_str()).collect();
         self.listed.keys().filter(|name| !named.contains(name.as_str())).cloned().collect()
     }
@@ -139,7 +139,7 @@
         backend,
         state: BackendState::from(endpoint.status),
         cell: CellIndex(endpoint.group),
-        kind: MachineKindIndex(place(&module.machine_kinds, &endpoint.kind)),
+        kind: MachineKindIndex(place(&module.machine_kinds, &endpoint.machine_kind)),
         zone: ZoneIndex(place(&module.zones, &endpoint.zone)),
         started_at: endpoint.since_ms.saturating_mul(1000),
         weight: endpoint.weight,
--- a/node/src/endpoints.rs
+++ b/node/src/endpoints.rs
@@ -6,14 +6,14 @@
 
 /// A list of backends in discovery's form.
 #[derive(Serialize, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     pub index: u64,
     #[serde(default)]
     pub snapshot: bool,
     pub endpoints: Vec<Endpoint>,
 }
 
-impl List {
+impl EndpointList {
     /// How the module is to read a list.
     pub fn kind(&self) -> ListKind {
         if self.snapshot {
@@ -31,7 +31,7 @@
     #[serde(default)]
     pub zone: String,
     #[serde(default, rename = "type")]
-    pub kind: String,
+    pub machine_kind: String,
     #[serde(default)]
     pub group: u16,
     pub status: Status,
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -3,9 +3,9 @@
 
 mod meeting_point;
 
-use crate::config::Held;
+use crate::config::OpenConnections;
 use crate::driver::Shared;
-use crate::endpoints::List;
+use crate::endpoints::EndpointList;
 use caperwind::{HandoverState, UnsyncedUnits};
 use meeting_point::MeetingPoint;
 use serde::{Deserialize, Serialize};
@@ -55,14 +55,14 @@
         on: bool,
     },
     /// The connections that it holds, of those that all may hold together.
-    Held(Held),
+    Held(OpenConnections),
     /// The last message of a process that ends.
     Spent(Vec<UnsyncedUnits>),
 }
 
 #[derive(Serialize, Deserialize)]
 pub struct State {
-    list: List,
+    list: EndpointList,
     barred: Vec<String>,
     draining: bool,
     module: HandoverState,
@@ -102,7 +102,7 @@
     peers: RefCell<BTreeMap<u64, Peer>>,
     next: Cell<u64>,
     /// What the others hold; `None` while there are none.
-    held: watch::Sender<Option<Held>>,
+    held: watch::Sender<Option<OpenConnections>>,
     /// The number of a successor that serves.
     successor: Cell<Option<u64>>,
     /// Told when the talk with another process is over.
@@ -128,7 +128,7 @@
     }
 
     /// Told what the others hold, whenever that changes; `None` while there are none.
-    pub fn held(&self) -> watch::Receiver<Option<Held>> {
+    pub fn held(&self) -> watch::Receiver<Option<OpenConnections>> {
         self.held.subscribe()
     }
 
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -2,7 +2,7 @@
 
 use crate::backend::Pool;
 use crate::body::budget::Budget;
-use crate::config::{Bounds, Held, Reload, Setup};
+use crate::config::{ConnectionLimits, OpenConnections, Reload, Setup};
 use crate::counter::Counter;
 use crate::handover::{Handover, Message};
 use crate::reasons::CloseReason;
@@ -51,26 +51,26 @@
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let setup = Setup::from_env()?;
-    let (alone, paired, descriptors) = (setup.alone, setup.paired, setup.descriptors);
-    let listener = match setup.inherited {
+    let (alone, paired, descriptors) = (setup.solo_limits, setup.paired_limits, setup.max_descriptors);
+    let listener = match setup.inherited_listener_fd {
         Some(fd) => handover::inherited(fd).and_then(|l| TcpListener::from_std(l).map_err(|e| e.to_string())),
         None => supervisor::listen("listen", setup.listen, MAX_LISTEN_WAIT).await,
     }?;
     let pool = Pool::new(&setup);
-    let counter = Counter::new(setup.counter, setup.module.counter, alone.counter);
-    let figures = figures::Figures::new(&setup.module);
-    let last_answer = last_answer(&setup.module);
+    let counter = Counter::new(setup.counter, setup.decision_config.counter, alone.counter);
+    let figures = figures::Figures::new(&setup.decision_config);
+    let last_answer = last_answer(&setup.decision_config);
     let driver = driver::Shared::new(
-        setup.module,
+        setup.decision_config,
         setup.seed,
         pool.clone(),
         counter.clone(),
         figures.reasons.clone(),
     )?;
     // The module begins with the list it last had, an empty one if none.
-    let none = endpoints::List { index: 0, snapshot: true, endpoints: Vec::new() };
-    let known = setup.known.as_ref().filter(|list| !list.endpoints.is_empty()).map(|list| list.index);
-    driver.backends_known(setup.known.unwrap_or(none));
+    let none = endpoints::EndpointList { index: 0, snapshot: true, endpoints: Vec::new() };
+    let known = setup.initial_list.as_ref().filter(|list| !list.endpoints.is_empty()).map(|list| list.index);
+    driver.backends_known(setup.initial_list.unwrap_or(none));
     let supervisor = Supervisor::new(pool.guard.clone());
     let timers = driver.clone();
     supervisor.run("timers", move || {
@@ -78,12 +78,17 @@
         async move { timers.keep_time().await }
     });
 
-    let bodies = Budget::new(setup.body_bytes);
+    let bodies = Budget::new(setup.max_body_bytes);
     let server = Server::new(driver.clone(), figures.clone(), alone.clients, bodies);
-    let others = Handover::join(driver.clone(), setup.meet).await;
+    let others = Handover::join(driver.clone(), setup.handover_socket).await;
     if let Some(address) = setup.ops {
-        let ops =
-            ops::Door::new(driver.clone(), server.clone(), figures, others.clone(), setup.ops_connections);
+        let ops = ops::Door::new(
+            driver.clone(),
+            server.clone(),
+            figures,
+            others.clone(),
+            setup.max_operator_connections,
+        );
         // Clients are served also while operators can't call.
         supervisor.run("ops", move || {
             let ops = ops.clone();
@@ -226,21 +231,21 @@
 
 /// Keeps to the bounds, which hold for all processes of this gateway together.
 async fn share(
-    alone: Bounds,
-    paired: Bounds,
+    alone: ConnectionLimits,
+    paired: ConnectionLimits,
     others: Rc<Handover>,
     server: Rc<Server>,
     pool: Rc<Pool>,
     counter: Rc<Counter>,
 ) {
-    let (mut held, mut told) = (others.held(), Held::default());
+    let (mut held, mut told) = (others.held(), OpenConnections::default());
     loop {
         let other = *held.borrow_and_update();
         let bounds = other.map_or(alone, |other| paired.beside(other));
         server.hold(bounds.clients);
         pool.hold(bounds.backends);
         counter.set_max_connections(bounds.counter);
-        let own = Held { clients: server.held(), backends: pool.held() };
+        let own = OpenConnections { clients: server.held(), backends: pool.held() };
         if other.is_some() && own != told {
             others.tell(&Message::Held(own));
             told = own;
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use badgerglade::clock::Clock;
-use badgerglade::counter::{Counter, Results};
+use badgerglade::counter::{CallObserver, Counter};
 use caperwind::{CounterKey, CounterResult, Micros};
 use common::*;
 use std::collections::HashMap;
@@ -33,11 +33,11 @@
 #[derive(Clone)]
 struct Ends(UnboundedSender<(u64, Told)>);
 
-impl Results for Ends {
-    fn counted(&self, name: CounterKey, result: CounterResult, _: Micros) {
+impl CallObserver for Ends {
+    fn call_ended(&self, name: CounterKey, result: CounterResult, _: Micros) {
         let _ = self.0.send((name.0, Now(result)));
     }
-    fn counted_late(&self, name: CounterKey, _: f64, result: CounterResult) {
+    fn overdue_call_ended(&self, name: CounterKey, _: f64, result: CounterResult) {
         let _ = self.0.send((name.0, Late(result)));
     }
 }
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -3,7 +3,7 @@
 
 use badgerglade::discovery::patience::{first_wait, Backoff, Patience, Trouble};
 use badgerglade::discovery::{follow, Subscriber, Terms};
-use badgerglade::endpoints::List;
+use badgerglade::endpoints::EndpointList;
 use caperwind::Discovery;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -203,14 +203,14 @@
 struct Gateway(Rc<Told>);
 
 impl Subscriber for Gateway {
-    fn told(&self, list: List, _older: bool) -> bool {
+    fn list_received(&self, list: EndpointList, _older: bool) -> bool {
         if self.0.index.replace(list.index) < list.index {
             self.0.at.set(Some(Instant::now()));
         }
         false
     }
-    fn failed(&self) {}
-    fn knows_any(&self) -> bool {
+    fn call_failed(&self) {}
+    fn knows_any_backend(&self) -> bool {
         self.0.index.get() > 0
     }
 }
--- a/node/tests/pool.rs
+++ b/node/tests/pool.rs
@@ -7,7 +7,7 @@
 use badgerglade::backend::{AttemptLimits, ClientClosed, Finish, Message, Payload, Pool};
 use badgerglade::body::budget::Budget;
 use badgerglade::body::download::Deadline;
-use badgerglade::config::{Bounds, Setup};
+use badgerglade::config::{ConnectionLimits, Setup};
 use badgerglade::meter::Meter;
 use caperwind::{BackendId, LoadField, Outcome};
 use common::*;
@@ -31,7 +31,7 @@
 
 /// A pool of one backend, with room for so many connections.
 fn pool(backend: SocketAddr, most: usize) -> Rc<Pool> {
-    let bounds = Bounds { clients: 8, backends: most, counter: 1 };
+    let bounds = ConnectionLimits { clients: 8, backends: most, counter: 1 };
     let module = caperwind_benchlink::parse_settings(settings(0, 10.0, 10.0).as_bytes()).expect("settings");
     let pool = Pool::new(&Setup {
         name: String::new(),
@@ -40,16 +40,16 @@
         counter: None,
         ops: None,
         seed: 0,
-        known: None,
-        module,
-        descriptors: 256,
-        alone: bounds,
-        paired: bounds,
-        inherited: None,
-        meet: None,
-        ops_connections: 1,
-        body_bytes: 1 << 20,
-        idle_retire: LONG,
+        initial_list: None,
+        decision_config: module,
+        max_descriptors: 256,
+        solo_limits: bounds,
+        paired_limits: bounds,
+        inherited_listener_fd: None,
+        handover_socket: None,
+        max_operator_connections: 1,
+        max_body_bytes: 1 << 20,
+        backend_idle_timeout: LONG,
     });
     pool.set(ID, backend, true, false);
     pool
