--- a/node/src/discovery/agent.rs
+++ b/node/src/discovery/agent.rs
@@ -1,8 +1,8 @@
 //! One connection to discovery, and the calls over it.
 
 use super::patience::Trouble;
-use crate::endpoints::List;
-use crate::meter::{Meter, Metered};
+use crate::endpoints::EndpointList;
+use crate::meter::{Meter, MeteredStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
@@ -36,13 +36,14 @@
         let stream = stream.map_err(|_| Failure::Silent("connect: no answer"))?;
         let stream = stream.map_err(|e| format!("connect: {e}"))?;
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        let (sender, conn) =
-            http1::handshake(TokioIo::new(Metered(Meter::new(stream)))).await.map_err(|e| e.to_string())?;
+        let (sender, conn) = http1::handshake(TokioIo::new(MeteredStream(Meter::new(stream))))
+            .await
+            .map_err(|e| e.to_string())?;
         let task = tokio::task::spawn_local(conn).abort_handle();
         Ok(Agent { address, sender, task })
     }
 
-    pub(super) async fn ask(&mut self, path: &str, limit: Duration) -> Result<List, Failure> {
+    pub(super) async fn ask(&mut self, path: &str, limit: Duration) -> Result<EndpointList, Failure> {
         let request = hyper::Request::get(path).header("host", self.address.to_string());
         let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
         let call = async {
