--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! The program under test between small fake peers on free loopback ports. Fakes say what they have
-//! seen over channels, so that tests wait for what happens and not for time to pass.
+//! Test support: starts the gateway process between fake servers (backends, discovery, counter) on free loopback
+//! ports. The fake servers report what they receive over channels, so that tests wait for events and not for a time.
 #![allow(dead_code)]
 
 use socket2::{Domain, SockRef, Socket, Type};
@@ -12,232 +12,271 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Long enough for any busy machine; only a failing test waits for all of it.
-pub const LONG: Duration = Duration::from_secs(20);
+/// The time limit for an expected event. It is long enough for any busy machine; only a failing test waits for all
+/// of it.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A connection to a backend may be used again this long after its last answer.
-pub const SETTLED: Duration = Duration::from_millis(15);
+/// The time after an answer from which the gateway may use the connection to the backend or the counter again.
+pub const CONNECTION_REUSE_DELAY: Duration = Duration::from_millis(15);
 
-/// A message as it came.
+/// A received HTTP request or answer.
 #[derive(Debug, Clone)]
-pub struct Seen {
-    /// The first line: a request's or an answer's.
-    pub line: String,
+pub struct HttpMessage {
+    /// The request line or the status line.
+    pub start_line: String,
+    /// Header fields by name in lower case.
     pub headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// Number of the connection it came on, by peer.
-    pub conn: usize,
-    pub at: Instant,
+    /// The number of the connection that it was received on, counted from 0 by the receiving server.
+    pub connection: usize,
+    /// When the whole message had been received.
+    pub received_at: Instant,
 }
 
-impl Seen {
+impl HttpMessage {
+    /// Returns the status of an answer.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
     }
+
+    /// Returns the value of a header field; the name is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
+
+    /// Returns the target of a request: its path and query.
     pub fn path(&self) -> &str {
-        self.line.split(' ').nth(1).expect("a path")
+        self.start_line.split(' ').nth(1).expect("a path")
     }
 }
 
-/// Reads one message; `None` where the connection ended first.
-pub fn read_message(from: &mut BufReader<TcpStream>, conn: usize) -> Option<Seen> {
+/// Reads one message; returns `None` if the connection ends first.
+pub fn read_message(reader: &mut BufReader<TcpStream>, connection: usize) -> Option<HttpMessage> {
     let mut text = String::new();
-    let mut next = |from: &mut BufReader<TcpStream>| {
+    let mut next_line = |reader: &mut BufReader<TcpStream>| {
         text.clear();
-        from.read_line(&mut text).ok().filter(|n| *n > 0)?;
+        reader.read_line(&mut text).ok().filter(|n| *n > 0)?;
         Some(text.trim_end().to_owned())
     };
-    let line = next(from)?;
+    let start_line = next_line(reader)?;
     let mut headers = HashMap::new();
     loop {
-        let field = next(from)?;
+        let field = next_line(reader)?;
         let Some((name, value)) = field.split_once(':') else { break };
         headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
     }
     if headers.get("transfer-encoding").is_some_and(|c| c == "chunked") {
         let mut body = Vec::new();
         loop {
-            let size = usize::from_str_radix(&next(from)?, 16).expect("a chunk's length");
-            let at = body.len();
-            body.resize(at + size, 0);
-            from.read_exact(&mut body[at..]).ok()?;
-            if next(from)?.is_empty() && size == 0 {
-                return Some(Seen { line, headers, body, conn, at: Instant::now() });
+            let size = usize::from_str_radix(&next_line(reader)?, 16).expect("a chunk's length");
+            let start = body.len();
+            body.resize(start + size, 0);
+            reader.read_exact(&mut body[start..]).ok()?;
+            if next_line(reader)?.is_empty() && size == 0 {
+                return Some(HttpMessage {
+                    start_line,
+                    headers,
+                    body,
+                    connection,
+                    received_at: Instant::now(),
+                });
             }
         }
     }
     let length = headers.get("content-length").map_or(0, |l: &String| l.parse().expect("a length"));
     let mut body = vec![0; length];
-    from.read_exact(&mut body).ok()?;
-    Some(Seen { line, headers, body, conn, at: Instant::now() })
+    reader.read_exact(&mut body).ok()?;
+    Some(HttpMessage { start_line, headers, body, connection, received_at: Instant::now() })
 }
 
-/// What a fake does with a request.
+/// How a fake server reacts to a request.
 pub enum Reaction {
+    /// Sends this text.
     Answer(String),
-    /// Ends the connection with no answer.
-    Break,
-    /// Says nothing until the other side ends the connection, and tells when it has.
+    /// Closes the connection without an answer.
+    Close,
+    /// Sends nothing, and goes on reading the connection.
     Silence,
-    /// Answers, ends its sending, and tells when the other side has ended the connection.
+    /// Sends this text, shuts down its sending side, and goes on reading.
     AnswerAndClose(String),
-    /// Writes each piece so many milliseconds after the one before, then goes on.
+    /// Sends pieces of text, each after a delay in milliseconds since the one before, and goes on reading.
     Pieces(Vec<(u64, String)>),
-    /// The same, and ends its sending.
+    /// As `Pieces`, then shuts down its sending side.
     PiecesAndClose(Vec<(u64, String)>),
-    /// The same, and resets the connection.
+    /// As `Pieces`, then resets the connection.
     PiecesAndReset(Vec<(u64, String)>),
 }
 
+/// Formats an answer. `status` is a code and a reason; `headers` are whole lines, each with its CRLF.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\n{headers}content-length: {}\r\n\r\n{body}", body.len())
 }
 
+/// Returns a 200 answer with this body.
 pub fn ok(body: &str) -> Reaction {
     Reaction::Answer(answer("200 OK", "", body))
 }
 
-/// A loopback address of this test's own, so that a port freed here is not taken elsewhere.
-pub fn own_address() -> String {
-    /// Those of one process, and processes that are told apart.
-    const MOST: u32 = 4_000;
+/// Returns a loopback IP address that no other test uses, so that a port that is freed on it is not taken by another.
+pub fn unique_loopback_ip() -> String {
+    /// The number of addresses of one test process, and the number of processes that get separate addresses.
+    const MAX_ADDRESSES: u32 = 4_000;
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let n = NEXT.fetch_add(1, Ordering::Relaxed);
-    assert!(n < MOST, "no address is left");
-    let [_, a, b, c] = (0x0001_0000 + std::process::id() % MOST * MOST + n).to_be_bytes();
+    assert!(n < MAX_ADDRESSES, "all loopback addresses of this process are used");
+    let [_, a, b, c] = (0x0001_0000 + std::process::id() % MAX_ADDRESSES * MAX_ADDRESSES + n).to_be_bytes();
     format!("127.{a}.{b}.{c}")
 }
 
-/// One test of a file at a time. Danger: a child's table of descriptors begins as large as this process's, and tells
-/// nothing of the child where that is larger than the limit.
-pub fn alone() -> MutexGuard<'static, ()> {
-    static ONE: Mutex<()> = Mutex::new(());
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Returns a lock that lets the tests of one file run one at a time. A child's descriptor table starts as large as
+/// that of the test process. If other tests enlarged that beyond the limit under test, the size of the table would
+/// say nothing about the child.
+pub fn exclusive_test_lock() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A connection that is read until `LONG`.
-pub fn connect(to: SocketAddr) -> BufReader<TcpStream> {
-    let stream = TcpStream::connect(to).expect("a connection");
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+/// Opens a connection whose reads time out after `TEST_TIMEOUT`.
+pub fn connect(address: SocketAddr) -> BufReader<TcpStream> {
+    let stream = TcpStream::connect(address).expect("a connection");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
     BufReader::new(stream)
 }
 
-/// A backend that gives customer 9 a long answer for twenty seconds, a little at a time, and all others a short one.
-pub fn long_for_customer_nine() -> Fake {
+/// Starts a backend that sends customer 9 a long answer in small pieces over twenty seconds, and all others a short
+/// one.
+pub fn backend_slow_for_customer_nine() -> FakeServer {
     let head = "HTTP/1.1 200 OK\r\ncontent-length: 200000\r\n\r\n".to_owned() + &"z".repeat(100_000);
-    let rest = (0..200).map(|_| (100, "z".repeat(500)));
-    let pieces: Vec<_> = [(0, head)].into_iter().chain(rest).collect();
-    Fake::start(move |seen| match seen.path().ends_with('9') {
+    let remaining_pieces = (0..200).map(|_| (100, "z".repeat(500)));
+    let pieces: Vec<_> = [(0, head)].into_iter().chain(remaining_pieces).collect();
+    FakeServer::start(move |request| match request.path().ends_with('9') {
         true => Reaction::Pieces(pieces.clone()),
         false => ok("x"),
     })
 }
 
-/// A listener whose connections are served by a function, a thread each.
-pub struct Fake {
+/// A test double of an HTTP server. It serves each connection on a thread of its own, with one function.
+pub struct FakeServer {
     pub address: SocketAddr,
-    pub seen: Receiver<Seen>,
-    /// Connections that the other side has ended.
-    pub ended: Receiver<usize>,
-    pub connections: Arc<AtomicUsize>,
-    /// Connections open at once: now, and the most there were.
-    pub open: Arc<(AtomicUsize, AtomicUsize)>,
-}
-
-impl Fake {
-    pub fn start(react: impl Fn(&Seen) -> Reaction + Send + Sync + 'static) -> Self {
-        Self::over(TcpListener::bind((own_address(), 0)).expect("a free port"), react)
-    }
-
-    pub fn over(listener: TcpListener, react: impl Fn(&Seen) -> Reaction + Send + Sync + 'static) -> Self {
+    /// Receives each request, before it is answered.
+    pub requests: Receiver<HttpMessage>,
+    /// Receives the number of each connection that the other side has closed.
+    pub closed_by_peer: Receiver<usize>,
+    /// The number of connections accepted so far.
+    pub connection_count: Arc<AtomicUsize>,
+    /// The number of open connections: now, and at most so far.
+    pub open_connections: Arc<(AtomicUsize, AtomicUsize)>,
+}
+
+impl FakeServer {
+    /// Starts a server on a free port that reacts to each request as `react` says.
+    pub fn start(react: impl Fn(&HttpMessage) -> Reaction + Send + Sync + 'static) -> Self {
+        Self::with_listener(TcpListener::bind((unique_loopback_ip(), 0)).expect("a free port"), react)
+    }
+
+    /// As `start`, on this listener.
+    pub fn with_listener(
+        listener: TcpListener,
+        react: impl Fn(&HttpMessage) -> Reaction + Send + Sync + 'static,
+    ) -> Self {
         let address = listener.local_addr().expect("an address");
-        let ((tell, seen), (tell_end, ended)) = (channel(), channel());
-        let (react, connections) = (Arc::new(react), Arc::new(AtomicUsize::new(0)));
-        let (count, open) = (connections.clone(), Arc::<(AtomicUsize, AtomicUsize)>::default());
-        let held = open.clone();
+        let ((request_sender, requests), (closed_sender, closed_by_peer)) = (channel(), channel());
+        let (react, connection_count) = (Arc::new(react), Arc::new(AtomicUsize::new(0)));
+        let (accepted, open_connections) =
+            (connection_count.clone(), Arc::<(AtomicUsize, AtomicUsize)>::default());
+        let open_gauge = open_connections.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming() {
-                let conn = count.fetch_add(1, Ordering::SeqCst);
-                let (react, tell, tell_end) = (react.clone(), tell.clone(), tell_end.clone());
-                let held = held.clone();
-                held.1.fetch_max(held.0.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
+                let connection = accepted.fetch_add(1, Ordering::SeqCst);
+                let (react, request_sender, closed_sender) =
+                    (react.clone(), request_sender.clone(), closed_sender.clone());
+                let open_gauge = open_gauge.clone();
+                open_gauge.1.fetch_max(open_gauge.0.fetch_add(1, Ordering::SeqCst) + 1, Ordering::SeqCst);
                 std::thread::spawn(move || {
-                    let left = serve(stream.expect("a connection"), conn, &*react, &tell);
-                    held.0.fetch_sub(1, Ordering::SeqCst);
-                    let _ = left.then(|| tell_end.send(conn));
+                    let closed_by_other_side =
+                        serve(stream.expect("a connection"), connection, &*react, &request_sender);
+                    open_gauge.0.fetch_sub(1, Ordering::SeqCst);
+                    let _ = closed_by_other_side.then(|| closed_sender.send(connection));
                 });
             }
         });
-        Fake { address, seen, ended, connections, open }
+        FakeServer { address, requests, closed_by_peer, connection_count, open_connections }
     }
 
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(LONG).expect("the fake was asked")
+    /// Waits for the next request.
+    pub fn next_request(&self) -> HttpMessage {
+        self.requests.recv_timeout(TEST_TIMEOUT).expect("the fake server receives a request")
     }
 }
 
-/// An address at which connections do not come up until `open`.
-pub struct Mute {
+/// A listener whose accept queue is full: further connection attempts hang until `start_accepting`.
+pub struct FullBacklogListener {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// What fills its line.
-    line: Vec<TcpStream>,
+    /// The connections that fill the accept queue.
+    queued: Vec<TcpStream>,
 }
 
-impl Mute {
+impl FullBacklogListener {
+    /// Listens on a free port and fills the accept queue.
     pub fn start() -> Self {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        let own: SocketAddr = format!("{}:0", own_address()).parse().expect("an address");
-        socket.bind(&own.into()).expect("a free port");
+        let bind_address: SocketAddr = format!("{}:0", unique_loopback_ip()).parse().expect("an address");
+        socket.bind(&bind_address.into()).expect("a free port");
         socket.listen(0).expect("a listener");
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
-        let mut line = Vec::new();
+        let mut queued = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
-            line.push(stream);
+            queued.push(stream);
         }
-        Mute { address, listener, line }
-    }
-
-    /// From now on connections come up, also those that have been waiting, and are served.
-    pub fn open(self, react: impl Fn(&Seen) -> Reaction + Send + Sync + 'static) -> Fake {
-        drop(self.line);
-        Fake::over(self.listener, react)
-    }
-}
-
-/// Serves a connection; returns whether it was the other side that ended it.
-fn serve(stream: TcpStream, conn: usize, react: &dyn Fn(&Seen) -> Reaction, tell: &Sender<Seen>) -> bool {
-    let mut out = stream.try_clone().expect("a second handle");
-    out.set_nodelay(true).expect("an option");
-    let mut from = BufReader::new(stream);
-    let write = |mut out: &TcpStream, pieces: Vec<(u64, String)>| {
-        for (after, text) in pieces {
-            std::thread::sleep(Duration::from_millis(after));
-            let _ = out.write_all(text.as_bytes());
+        FullBacklogListener { address, listener, queued }
+    }
+
+    /// Accepts and serves connections from now on, also those that have been waiting.
+    pub fn start_accepting(
+        self,
+        react: impl Fn(&HttpMessage) -> Reaction + Send + Sync + 'static,
+    ) -> FakeServer {
+        drop(self.queued);
+        FakeServer::with_listener(self.listener, react)
+    }
+}
+
+/// Serves a connection; returns whether the other side closed it.
+fn serve(
+    stream: TcpStream,
+    connection: usize,
+    react: &dyn Fn(&HttpMessage) -> Reaction,
+    request_sender: &Sender<HttpMessage>,
+) -> bool {
+    let mut writer = stream.try_clone().expect("a second handle");
+    writer.set_nodelay(true).expect("an option");
+    let mut reader = BufReader::new(stream);
+    let write_pieces = |mut writer: &TcpStream, pieces: Vec<(u64, String)>| {
+        for (delay_ms, text) in pieces {
+            std::thread::sleep(Duration::from_millis(delay_ms));
+            let _ = writer.write_all(text.as_bytes());
         }
     };
-    while let Some(seen) = read_message(&mut from, conn) {
-        let _ = tell.send(seen.clone());
-        match react(&seen) {
-            Reaction::Answer(text) => drop(out.write_all(text.as_bytes())),
-            Reaction::Break => return false,
+    while let Some(request) = read_message(&mut reader, connection) {
+        let _ = request_sender.send(request.clone());
+        match react(&request) {
+            Reaction::Answer(text) => drop(writer.write_all(text.as_bytes())),
+            Reaction::Close => return false,
             Reaction::Silence => continue,
             Reaction::AnswerAndClose(text) => {
-                let _ = out.write_all(text.as_bytes());
-                let _ = out.shutdown(std::net::Shutdown::Write);
+                let _ = writer.write_all(text.as_bytes());
+                let _ = writer.shutdown(std::net::Shutdown::Write);
             }
-            Reaction::Pieces(pieces) => write(&out, pieces),
+            Reaction::Pieces(pieces) => write_pieces(&writer, pieces),
             Reaction::PiecesAndClose(pieces) => {
-                write(&out, pieces);
-                let _ = out.shutdown(std::net::Shutdown::Write);
+                write_pieces(&writer, pieces);
+                let _ = writer.shutdown(std::net::Shutdown::Write);
             }
             Reaction::PiecesAndReset(pieces) => {
-                write(&out, pieces);
-                SockRef::from(&out).set_linger(Some(Duration::ZERO)).expect("an option");
+                write_pieces(&writer, pieces);
+                SockRef::from(&writer).set_linger(Some(Duration::ZERO)).expect("an option");
                 return false;
             }
         }
@@ -245,129 +284,139 @@
     true
 }
 
-/// Discovery: a list that tests change, and watches that wait for that.
-pub struct Discovery {
-    pub fake: Fake,
-    list: Arc<(Mutex<Listing>, Condvar)>,
+/// A test double of discovery: a list that the test changes, and watches that wait for a change.
+pub struct FakeDiscovery {
+    pub server: FakeServer,
+    state: Arc<(Mutex<DiscoveryState>, Condvar)>,
 }
 
 #[derive(Default)]
-struct Listing {
+struct DiscoveryState {
     index: u64,
     entries: Vec<String>,
-    rubbish: bool,
+    /// Answer the next call with an invalid list.
+    invalid_answer: bool,
 }
 
+/// Formats one endpoint of a discovery list, for a process that started at time 0.
 pub fn entry(name: &str, address: SocketAddr, status: &str) -> String {
     entry_since(name, address, status, 0)
 }
 
-/// The same for a process that started then.
+/// Formats one endpoint of a discovery list, for a process that started `since_ms` milliseconds after the epoch.
 pub fn entry_since(name: &str, address: SocketAddr, status: &str, since_ms: u64) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"k","group":1,"status":"{status}","weight":1.0,"since_ms":{since_ms}}}"#
     )
 }
 
+/// Formats a discovery list.
 pub fn list(index: u64, snapshot: bool, entries: &[String]) -> String {
     format!(r#"{{"index":{index},"snapshot":{snapshot},"endpoints":[{}]}}"#, entries.join(","))
 }
 
-impl Discovery {
+impl FakeDiscovery {
+    /// Starts discovery with this list, at index 1.
     pub fn start(entries: Vec<String>) -> Self {
-        let list: Arc<(Mutex<Listing>, Condvar)> = Arc::default();
-        list.0.lock().expect("unpoisoned").index = 1;
-        list.0.lock().expect("unpoisoned").entries = entries;
-        let held = list.clone();
-        let fake = Fake::start(move |seen| {
-            let (lock, changed) = &*held;
-            let mut now = lock.lock().expect("unpoisoned");
-            let path = seen.path().to_owned();
+        let state: Arc<(Mutex<DiscoveryState>, Condvar)> = Arc::default();
+        state.0.lock().expect("unpoisoned").index = 1;
+        state.0.lock().expect("unpoisoned").entries = entries;
+        let shared = state.clone();
+        let server = FakeServer::start(move |request| {
+            let (lock, changed) = &*shared;
+            let mut current = lock.lock().expect("unpoisoned");
+            let path = request.path().to_owned();
             let index =
                 path.split_once("index=").and_then(|(_, rest)| rest.split('&').next()?.parse::<u64>().ok());
             if let Some(index) = index {
                 let wait = path.split_once("wait=").and_then(|(_, w)| w.parse().ok()).expect("a wait");
-                let news = |l: &mut Listing| l.index <= index && !l.rubbish;
-                now =
-                    changed.wait_timeout_while(now, Duration::from_millis(wait), news).expect("unpoisoned").0;
+                let unchanged = |s: &mut DiscoveryState| s.index <= index && !s.invalid_answer;
+                current = changed
+                    .wait_timeout_while(current, Duration::from_millis(wait), unchanged)
+                    .expect("unpoisoned")
+                    .0;
             }
-            if std::mem::take(&mut now.rubbish) {
+            if std::mem::take(&mut current.invalid_answer) {
                 return ok("{\"index\":\"no list\"}");
             }
-            let changed = if index.is_some_and(|i| i >= now.index) { &[][..] } else { &now.entries[..] };
-            ok(&self::list(now.index, index.is_none(), changed))
+            let entries =
+                if index.is_some_and(|i| i >= current.index) { &[][..] } else { &current.entries[..] };
+            ok(&self::list(current.index, index.is_none(), entries))
         });
-        Discovery { fake, list }
+        FakeDiscovery { server, state }
     }
 
-    /// Changes the list; the next watch is told.
+    /// Replaces the entries and increments the index; the next watch gets the new list.
     pub fn set(&self, entries: Vec<String>) {
-        let mut now = self.list.0.lock().expect("unpoisoned");
-        now.index += 1;
-        now.entries = entries;
-        self.list.1.notify_all();
+        let mut current = self.state.0.lock().expect("unpoisoned");
+        current.index += 1;
+        current.entries = entries;
+        self.state.1.notify_all();
     }
 
-    /// Puts another list in its place, of whatever version; the next watch is told.
+    /// Replaces the list by one with any index; the next watch gets it.
     pub fn replace(&self, index: u64, entries: Vec<String>) {
-        let mut now = self.list.0.lock().expect("unpoisoned");
-        (now.index, now.entries) = (index, entries);
-        self.list.1.notify_all();
+        let mut current = self.state.0.lock().expect("unpoisoned");
+        (current.index, current.entries) = (index, entries);
+        self.state.1.notify_all();
     }
 
-    /// Answers one call with what is no list.
-    pub fn babble(&self) {
-        self.list.0.lock().expect("unpoisoned").rubbish = true;
-        self.list.1.notify_all();
+    /// Answers the next call with an invalid list.
+    pub fn send_invalid_list_once(&self) {
+        self.state.0.lock().expect("unpoisoned").invalid_answer = true;
+        self.state.1.notify_all();
     }
 
-    /// Waits until a watch for the present list is out: all of it has then been told and taken in.
-    pub fn settled(&self) {
-        let index = self.list.0.lock().expect("unpoisoned").index;
-        let sign = format!("index={index}&");
-        while !self.fake.next().path().contains(&sign) {}
+    /// Waits until the gateway has sent a watch with the current list's index: it has then received and applied that
+    /// list.
+    pub fn wait_until_list_received(&self) {
+        let index = self.state.0.lock().expect("unpoisoned").index;
+        let watch_query = format!("index={index}&");
+        while !self.server.next_request().path().contains(&watch_query) {}
     }
 }
 
-/// What a counter keeps, under whatever addresses.
+/// The totals of a counter service by key. Clones share them, so that several servers can keep one set.
 #[derive(Clone, Default)]
-pub struct Numbers(Arc<Mutex<HashMap<String, f64>>>);
+pub struct CounterTotals(Arc<Mutex<HashMap<String, f64>>>);
 
-impl Numbers {
-    /// Carries out a call; returns the total.
-    pub fn add(&self, call: &Seen) -> String {
-        let (name, query) = call.path().split_once('?').expect("a query");
+impl CounterTotals {
+    /// Adds the amount of a call; returns the new total.
+    pub fn add(&self, call: &HttpMessage) -> String {
+        let (key, query) = call.path().split_once('?').expect("a query");
         let delta = query.split('&').find_map(|p| p.strip_prefix("delta=")).expect("an amount");
-        let mut numbers = self.0.lock().expect("unpoisoned");
-        let total = numbers.entry(name.to_owned()).or_default();
+        let mut totals = self.0.lock().expect("unpoisoned");
+        let total = totals.entry(key.to_owned()).or_default();
         *total += delta.parse::<f64>().expect("a number");
         total.to_string()
     }
 
-    /// Waits until all numbers together come to so much.
-    pub fn come_to(&self, sum: f64) {
-        let until = Instant::now() + LONG;
+    /// Waits until the sum of all totals is `sum`.
+    pub fn wait_for_sum(&self, sum: f64) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while self.sum() != sum {
-            assert!(Instant::now() < until, "{} of {sum} units", self.sum());
+            assert!(Instant::now() < deadline, "{} of {sum} units", self.sum());
             std::thread::sleep(Duration::from_millis(10));
         }
     }
 
+    /// Returns the sum of all totals.
     pub fn sum(&self) -> f64 {
         self.0.lock().expect("unpoisoned").values().sum()
     }
 }
 
-/// A counter that keeps numbers and answers as it should.
-pub fn counter() -> Fake {
-    let numbers = Numbers::default();
-    Fake::start(move |seen| ok(&numbers.add(seen)))
+/// Starts a counter service that works as specified.
+pub fn fake_counter() -> FakeServer {
+    let totals = CounterTotals::default();
+    FakeServer::start(move |call| ok(&totals.add(call)))
 }
 
-/// Settings as the first message gives them; the plan `llano` has the rate and burst given.
-pub fn settings(me: u32, rate: f64, burst: f64) -> String {
+/// Formats the settings as the first message of the simulator gives them. The plan `llano` gets this rate (units per
+/// second) and burst (units).
+pub fn settings(own_index: u32, rate: f64, burst: f64) -> String {
     format!(
-        r#"{{"balancers":2,"me":{me},"zone":0,"zones":["a","b"],"kinds":["k"],"discovery":"pushed","weights":"off",
+        r#"{{"balancers":2,"me":{own_index},"zone":0,"zones":["a","b"],"kinds":["k"],"discovery":"pushed","weights":"off",
 "tick_us":2000,"layers":["n"],"stage":0,"load_info":{{"names":["avg_ms","rps","waiting"],"via":"inline"}},
 "classes":[
 {{"name":"consulta","aim_us":800000,"deadline_us":3000000,"effect":"pure","group":"all","worth":1.0,"window_us":0}},
@@ -382,21 +431,24 @@
     )
 }
 
-/// What outlives a process of a gateway: the clients' socket and a folder.
+/// What a platform keeps across the processes of one gateway: the listening socket for clients and a folder.
 pub struct Platform {
     listener: TcpListener,
+    /// The folder that processes get as `TMPDIR`.
     pub folder: std::path::PathBuf,
 }
 
 impl Platform {
+    /// Opens the socket and creates the folder.
     pub fn new() -> Self {
-        let listener = TcpListener::bind((own_address(), 0)).expect("a free port");
+        let listener = TcpListener::bind((unique_loopback_ip(), 0)).expect("a free port");
         let ip = listener.local_addr().expect("an address").ip();
         let folder = std::env::temp_dir().join(format!("gw-{ip}"));
         std::fs::create_dir_all(&folder).expect("a folder");
         Platform { listener, folder }
     }
 
+    /// Returns the address that clients connect to.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().expect("an address")
     }
@@ -408,39 +460,45 @@
     }
 }
 
-/// What a gateway is started with.
-pub struct Start {
-    pub me: u32,
+/// How a gateway is started.
+pub struct GatewayOptions {
+    /// The index of the gateway in its fleet.
+    pub own_index: u32,
+    /// The quota rate of the plan `llano`, in units per second.
     pub rate: f64,
+    /// The largest burst of the plan `llano`, in units.
     pub burst: f64,
+    /// The discovery list in the configuration.
     pub known: Option<String>,
+    /// The memory limit in the configuration, in MB.
     pub memory_mb: u32,
+    /// The descriptor limit in the configuration.
     pub sockets: u32,
-    /// The process's own limit on descriptors, where it is not the one of the tests.
-    pub descriptors: Option<u32>,
-    /// Gateways whose addresses the configuration gives.
-    pub peers: u32,
-    /// The platform's part, where it holds the clients' socket.
+    /// The process's own descriptor limit (`ulimit -n`), if it differs from that of the tests.
+    pub descriptor_limit: Option<u32>,
+    /// The number of gateways whose addresses are in the configuration.
+    pub peer_count: u32,
+    /// The platform, if that holds the listening socket for clients.
     pub platform: Option<Platform>,
-    /// Where its log goes, if not into a file of the test's.
+    /// The descriptor that the log is written to, if it is not a file of the test.
     pub log: Option<std::os::fd::OwnedFd>,
-    /// Its log tells of each request.
+    /// Whether the log has a line for each request.
     pub debug_log: bool,
-    /// Changes to the settings: what is replaced, and by what.
+    /// Replacements in the text of the settings: (old, new).
     pub changes: &'static [(&'static str, &'static str)],
 }
 
-impl Default for Start {
+impl Default for GatewayOptions {
     fn default() -> Self {
-        Start {
-            me: 0,
+        GatewayOptions {
+            own_index: 0,
             rate: 1000.0,
             burst: 1000.0,
             known: None,
             memory_mb: 192,
             sockets: 256,
-            descriptors: None,
-            peers: 0,
+            descriptor_limit: None,
+            peer_count: 0,
             platform: None,
             log: None,
             debug_log: false,
@@ -449,29 +507,32 @@
     }
 }
 
-fn with_peers(text: &str, discovery: SocketAddr, counter: SocketAddr) -> String {
+/// Replaces the placeholders of discovery's and the counter's address in a configuration.
+fn with_addresses(text: &str, discovery: SocketAddr, counter: SocketAddr) -> String {
     text.replace("DISCOVERY", &discovery.to_string()).replace("COUNTER", &counter.to_string())
 }
 
-/// Where nothing listens, on an address that no other test uses. Danger: a port is not found by taking and freeing
-/// one: a child that another test is starting holds a copy of what was open then, and the port is still taken.
-pub fn free_port() -> SocketAddr {
-    format!("{}:8081", own_address()).parse().expect("an address")
+/// Returns an address where nothing listens and that no other test uses. The port is not found by binding and closing
+/// a socket: a child that another test starts meanwhile inherits a copy of that socket, and the port stays taken.
+pub fn unused_address() -> SocketAddr {
+    format!("{}:8081", unique_loopback_ip()).parse().expect("an address")
 }
 
-/// The program, running.
+/// A running gateway process.
 pub struct Gateway {
+    /// The address for clients.
     pub address: SocketAddr,
+    /// The address for operators.
     pub ops: SocketAddr,
     child: Child,
     config: std::path::PathBuf,
-    /// What the file says, with places for the peers' addresses.
-    text: String,
-    /// Health checks that were answered, each on a connection of its own that the check then closed.
+    /// The configuration, with placeholders for the addresses of discovery and the counter.
+    config_template: String,
+    /// The number of answered health checks. Each used a connection of its own and closed it.
     answered_health_checks: AtomicU64,
 }
 
-/// Where a gateway is to listen.
+/// The addresses where a gateway listens.
 #[derive(Clone, Copy)]
 pub struct Addresses {
     pub clients: SocketAddr,
@@ -479,192 +540,205 @@
 }
 
 impl Gateway {
-    /// Addresses that nobody uses yet.
-    pub fn next_addresses() -> Addresses {
-        Addresses { clients: free_port(), ops: free_port() }
+    /// Returns addresses that are not in use.
+    pub fn unused_addresses() -> Addresses {
+        Addresses { clients: unused_address(), ops: unused_address() }
     }
 
-    pub fn launch(start: &Start, discovery: SocketAddr, counter: SocketAddr) -> Self {
-        let mut addresses = Self::next_addresses();
-        if let Some(platform) = &start.platform {
+    /// Starts a gateway process, without waiting until it is ready.
+    pub fn launch(options: &GatewayOptions, discovery: SocketAddr, counter: SocketAddr) -> Self {
+        let mut addresses = Self::unused_addresses();
+        if let Some(platform) = &options.platform {
             addresses.clients = platform.address();
         }
-        Self::launch_at(start, addresses, discovery, counter)
-    }
-
-    /// Launches a gateway that is to listen there.
-    pub fn launch_at(start: &Start, at: Addresses, discovery: SocketAddr, counter: SocketAddr) -> Self {
-        let Addresses { clients: address, ops } = at;
-        let known = start.known.as_ref().map(|k| format!("\"known\":{k},")).unwrap_or_default();
+        Self::launch_at(options, addresses, discovery, counter)
+    }
+
+    /// As `launch`, with these addresses to listen on.
+    pub fn launch_at(
+        options: &GatewayOptions,
+        addresses: Addresses,
+        discovery: SocketAddr,
+        counter: SocketAddr,
+    ) -> Self {
+        let Addresses { clients: address, ops } = addresses;
+        let known = options.known.as_ref().map(|k| format!("\"known\":{k},")).unwrap_or_default();
         let config = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}.json", ops.ip()));
-        let mut settings = settings(start.me, start.rate, start.burst);
-        for (old, new) in start.changes {
+        let mut settings = settings(options.own_index, options.rate, options.burst);
+        for (old, new) in options.changes {
             assert!(settings.contains(old), "{old} is not in the settings");
             settings = settings.replace(old, new);
         }
         let peers: Vec<_> =
-            (0..start.peers).map(|n| format!("\"127.9.{}.{}:7946\"", n / 250, n % 250)).collect();
+            (0..options.peer_count).map(|n| format!("\"127.9.{}.{}:7946\"", n / 250, n % 250)).collect();
         let peers = peers.join(",");
-        let text = format!(
+        let config_template = format!(
             r#"{{"name":"n{}","listen":"{address}","discovery":"DISCOVERY","seed":"8c1f30d27a5be964","peers":[{peers}],
 "limits":{{"cores":1.0,"memory_mb":{},"sockets":{}}},"counter":"COUNTER",{known}"settings":{}}}"#,
-            start.me, start.memory_mb, start.sockets, settings
+            options.own_index, options.memory_mb, options.sockets, settings
         );
-        std::fs::write(&config, with_peers(&text, discovery, counter))
+        std::fs::write(&config, with_addresses(&config_template, discovery, counter))
             .expect("a place for the configuration");
         let program = env!("CARGO_BIN_EXE_badgerglade");
         let mut command = Command::new(program);
-        if let Some(limit) = start.descriptors {
+        if let Some(limit) = options.descriptor_limit {
             command = Command::new("sh");
             command.args(["-c", "ulimit -n \"$1\" && exec \"$0\"", program, &limit.to_string()]);
         }
         command.env_remove("TMPDIR");
-        if let Some(platform) = &start.platform {
+        if let Some(platform) = &options.platform {
             // Without unsafe code, the one descriptor that a test can hand down is the standard input.
             let socket = platform.listener.try_clone().expect("a second handle");
             command.stdin(std::os::fd::OwnedFd::from(socket)).env("NODE_FD", "0");
             command.env("TMPDIR", &platform.folder);
         }
-        let log = match &start.log {
+        let log = match &options.log {
             Some(log) => log.try_clone().expect("a second handle"),
             None => std::fs::File::create(config.with_extension("log")).expect("a place for the log").into(),
         };
         let child = command
             .env("NODE_CONFIG", &config)
-            .env("NODE_LOG", if start.debug_log { "debug" } else { "info" })
-            .env("NODE_NAME", format!("n{}", start.me))
+            .env("NODE_LOG", if options.debug_log { "debug" } else { "info" })
+            .env("NODE_NAME", format!("n{}", options.own_index))
             .env("NODE_LISTEN", address.to_string())
             .env("NODE_DISCOVERY", discovery.to_string())
             .env("NODE_OPS", ops.to_string())
             .stderr(log)
             .spawn()
             .expect("the program starts");
-        Gateway { address, ops, child, config, text, answered_health_checks: AtomicU64::new(0) }
+        Gateway { address, ops, child, config, config_template, answered_health_checks: AtomicU64::new(0) }
     }
 
-    /// Replaces the file by one that names these peers, and says so.
+    /// Rewrites the configuration file with these addresses, and sends SIGHUP.
     pub fn reload(&self, discovery: SocketAddr, counter: SocketAddr) {
-        self.reload_text(&with_peers(&self.text, discovery, counter));
+        self.reload_text(&with_addresses(&self.config_template, discovery, counter));
     }
 
+    /// Replaces the configuration file by this text, and sends SIGHUP.
     pub fn reload_text(&self, text: &str) {
         std::fs::write(&self.config, text).expect("a place for the configuration");
         self.signal("-HUP");
     }
 
-    /// The most memory that it has held, in MB.
-    pub fn memory_mb(&self) -> u64 {
+    /// Returns the largest resident set size of the process so far, in MB.
+    pub fn peak_memory_mb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).expect("a status");
         let line = text.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("a figure");
         line.trim().trim_end_matches("kB").trim().parse::<u64>().expect("a number") / 1024
     }
 
-    /// Descriptors that it holds now.
-    pub fn descriptors(&self) -> usize {
+    /// Returns the number of descriptors that the process has open now.
+    pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid())).expect("a list").count()
     }
 
-    /// Slots that the kernel has set up for its descriptors: a power of two that only grows. As the lowest free
-    /// slot is taken each time, the process has never held more descriptors at once than this, not for a moment.
+    /// Returns the size of the process's descriptor table, a power of two that only grows. As the kernel assigns the
+    /// lowest free descriptor each time, the process has never had more descriptors open at once than this.
     pub fn descriptor_slots(&self) -> usize {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.pid())).expect("a status");
         let line = text.lines().find_map(|l| l.strip_prefix("FDSize:")).expect("a figure");
         line.trim().parse().expect("a number")
     }
 
-    /// What it has written to its log so far.
+    /// Returns the log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.config.with_extension("log")).expect("a log")
     }
 
+    /// Returns the process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
     /// Starts a gateway and waits until it is ready.
-    pub fn start(start: &Start, discovery: SocketAddr, counter: SocketAddr) -> Self {
-        let gateway = Self::launch(start, discovery, counter);
-        let until = Instant::now() + LONG;
+    pub fn start(options: &GatewayOptions, discovery: SocketAddr, counter: SocketAddr) -> Self {
+        let gateway = Self::launch(options, discovery, counter);
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while gateway.health() != Some(200) {
             let log = || std::fs::read_to_string(gateway.config.with_extension("log"));
-            assert!(Instant::now() < until, "the gateway does not become ready: {:?}", log());
+            assert!(Instant::now() < deadline, "the gateway does not become ready: {:?}", log());
             std::thread::sleep(Duration::from_millis(5));
         }
         gateway
     }
 
-    /// Waits until the door says that this process serves.
-    pub fn serves(&self) {
-        let until = Instant::now() + LONG;
-        let ready = || TcpStream::connect(self.ops).is_ok() && self.call("GET /ready").status() == 200;
+    /// Waits until the operators' server of this process answers `/ready` with 200.
+    pub fn wait_until_serving(&self) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
+        let ready = || TcpStream::connect(self.ops).is_ok() && self.ops_request("GET /ready").status() == 200;
         while !ready() {
-            assert!(Instant::now() < until, "the process does not serve");
+            assert!(Instant::now() < deadline, "the process does not serve");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// What `/healthz` says; `None` while nothing listens.
+    /// Returns the status of `/healthz`; `None` while nothing listens or the connection ends without an answer.
     pub fn health(&self) -> Option<u16> {
         let stream = TcpStream::connect(self.address).ok()?;
-        let mut client = Client::over(stream);
+        let mut client = Client::from_stream(stream);
         client.send("GET /healthz HTTP/1.1\r\nhost: t\r\n\r\n");
-        let status = client.answer().map(|a| a.status());
+        let status = client.read_answer().map(|a| a.status());
         self.answered_health_checks.fetch_add(u64::from(status.is_some()), Ordering::Relaxed);
         status
     }
 
-    /// The number of health checks that were answered, those of the start included.
+    /// Returns the number of answered health checks, including those of the start.
     pub fn answered_health_checks(&self) -> u64 {
         self.answered_health_checks.load(Ordering::Relaxed)
     }
 
-    /// One call at the operators' door.
-    pub fn call(&self, call: &str) -> Seen {
-        let mut client = self.caller();
+    /// Sends one request to the operators' server; `call` is a method and a target.
+    pub fn ops_request(&self, call: &str) -> HttpMessage {
+        let mut client = self.ops_client();
         client.ask(&format!("{call} HTTP/1.1\r\nhost: t\r\n\r\n"))
     }
 
-    pub fn caller(&self) -> Client {
-        Client::over(TcpStream::connect(self.ops).expect("the door opens"))
+    /// Connects to the operators' server.
+    pub fn ops_client(&self) -> Client {
+        Client::from_stream(TcpStream::connect(self.ops).expect("the operators' server accepts"))
     }
 
-    /// The figures, as the door tells them.
-    pub fn figures(&self) -> serde_json::Value {
-        serde_json::from_slice(&self.call("GET /metrics").body).expect("figures")
+    /// Returns the metrics that the operators' server reports.
+    pub fn metrics(&self) -> serde_json::Value {
+        serde_json::from_slice(&self.ops_request("GET /metrics").body).expect("metrics")
     }
 
+    /// Connects as a client.
     pub fn client(&self) -> Client {
-        Client::over(TcpStream::connect(self.address).expect("the gateway accepts"))
+        Client::from_stream(TcpStream::connect(self.address).expect("the gateway accepts"))
     }
 
-    /// A connection as soon as there is one who listens.
-    pub fn first_client(&self) -> Client {
-        let until = Instant::now() + LONG;
+    /// Connects as a client as soon as something listens.
+    pub fn client_once_listening(&self) -> Client {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Ok(stream) = TcpStream::connect(self.address) {
-                return Client::over(stream);
+                return Client::from_stream(stream);
             }
-            assert!(Instant::now() < until, "nobody listens: {}", self.log());
+            assert!(Instant::now() < deadline, "nothing listens: {}", self.log());
             std::thread::yield_now();
         }
     }
 
+    /// Sends SIGTERM.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    pub fn signal(&self, which: &str) {
-        let done = Command::new("kill").arg(which).arg(self.child.id().to_string()).status();
-        assert!(done.expect("kill runs").success());
+    /// Sends a signal, given as an option of `kill`.
+    pub fn signal(&self, signal: &str) {
+        let status = Command::new("kill").arg(signal).arg(self.child.id().to_string()).status();
+        assert!(status.expect("kill runs").success());
     }
 
-    pub fn wait(&mut self) -> ExitStatus {
-        let until = Instant::now() + LONG;
+    /// Waits until the process has exited.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("a status") {
                 return status;
             }
-            assert!(Instant::now() < until, "the gateway does not end");
+            assert!(Instant::now() < deadline, "the gateway does not end");
             std::thread::sleep(Duration::from_millis(10));
         }
     }
@@ -679,156 +753,165 @@
     }
 }
 
-/// Discovery's entries for backends that serve: `s-0`, `s-1` and so on.
-pub fn serving(backends: &[&Fake]) -> Vec<String> {
+/// Formats discovery's entries for serving backends, named `s-0`, `s-1` and so on.
+pub fn serving_entries(backends: &[&FakeServer]) -> Vec<String> {
     let backends = backends.iter().enumerate();
     backends.map(|(i, b)| entry(&format!("s-{i}"), b.address, "SERVING")).collect()
 }
 
-/// A gateway that serves, with its discovery and its counter.
-pub struct Scene {
+/// A serving gateway with its discovery and its counter.
+pub struct Fixture {
     pub gateway: Gateway,
-    pub discovery: Discovery,
-    pub counter: Fake,
+    pub discovery: FakeDiscovery,
+    pub counter: FakeServer,
 }
 
-impl Scene {
-    /// Starts a gateway that has been told this list, and waits until it has taken it in.
-    pub fn new(start: &Start, entries: Vec<String>, counter: Fake) -> Self {
-        let discovery = Discovery::start(entries);
-        let gateway = Gateway::start(start, discovery.fake.address, counter.address);
-        discovery.settled();
-        Scene { gateway, discovery, counter }
+impl Fixture {
+    /// Starts a gateway with this discovery list, and waits until it has received and applied the list.
+    pub fn new(options: &GatewayOptions, entries: Vec<String>, counter: FakeServer) -> Self {
+        let discovery = FakeDiscovery::start(entries);
+        let gateway = Gateway::start(options, discovery.server.address, counter.address);
+        discovery.wait_until_list_received();
+        Fixture { gateway, discovery, counter }
     }
 }
 
-/// How a client leaves.
+/// How a client disconnects.
 #[derive(Debug, Clone, Copy)]
-pub enum Leave {
+pub enum Disconnect {
     Close,
     Reset,
-    /// With so many bytes sent that nobody has asked for.
-    CloseBehind(usize),
-    ResetBehind(usize),
-    /// With as many bytes sent, up to so many, as the sockets take.
-    CloseFull(usize),
-}
-
-/// Few bytes end in the gateway's hands, many stay in the socket.
-pub const LEAVES: [Leave; 6] = [
-    Leave::Close,
-    Leave::Reset,
-    Leave::CloseBehind(20),
-    Leave::CloseBehind(20_000),
-    Leave::ResetBehind(20),
-    Leave::ResetBehind(20_000),
+    /// Sends this many bytes beyond its request, then closes.
+    CloseAfterBytes(usize),
+    /// Sends this many bytes beyond its request, then resets.
+    ResetAfterBytes(usize),
+    /// Sends as many bytes as the socket buffers take, up to about this many, then closes.
+    CloseAfterFilling(usize),
+}
+
+/// Disconnects without extra bytes, with few, which the gateway reads, and with many, which stay in the socket.
+pub const DISCONNECTS: [Disconnect; 6] = [
+    Disconnect::Close,
+    Disconnect::Reset,
+    Disconnect::CloseAfterBytes(20),
+    Disconnect::CloseAfterBytes(20_000),
+    Disconnect::ResetAfterBytes(20),
+    Disconnect::ResetAfterBytes(20_000),
 ];
 
+/// A client's connection.
 pub struct Client {
-    from: BufReader<TcpStream>,
+    reader: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        Client { from: BufReader::new(stream) }
+    /// Takes over a connection; its reads time out after `TEST_TIMEOUT`.
+    pub fn from_stream(stream: TcpStream) -> Self {
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+        Client { reader: BufReader::new(stream) }
     }
 
+    /// Sends this text.
     pub fn send(&mut self, text: &str) {
-        self.from.get_mut().write_all(text.as_bytes()).expect("the gateway reads");
+        self.reader.get_mut().write_all(text.as_bytes()).expect("the gateway reads");
     }
 
-    /// Sends as much as is taken: the other side may have answered and closed.
-    pub fn push(&mut self, text: &str) {
-        let _ = self.from.get_mut().write_all(text.as_bytes());
+    /// Sends this text, ignoring errors: the other side may have answered and closed.
+    pub fn send_ignoring_errors(&mut self, text: &str) {
+        let _ = self.reader.get_mut().write_all(text.as_bytes());
     }
 
-    /// Sends so many bytes at most, until nothing more is taken for a while.
-    fn fill(&mut self, most: usize) {
-        let (stream, bytes) = (self.from.get_mut(), [b'x'; 65_536]);
+    /// Sends until `max_bytes` are reached or the socket takes nothing for 20 ms.
+    fn fill_buffers(&mut self, max_bytes: usize) {
+        let (stream, bytes) = (self.reader.get_mut(), [b'x'; 65_536]);
         stream.set_nonblocking(true).expect("an option");
-        let (mut sent, mut last) = (0, Instant::now());
-        while sent < most && last.elapsed() < Duration::from_millis(20) {
+        let (mut sent, mut last_sent_at) = (0, Instant::now());
+        while sent < max_bytes && last_sent_at.elapsed() < Duration::from_millis(20) {
             match stream.write(&bytes) {
-                Ok(n) => (sent, last) = (sent + n, Instant::now()),
+                Ok(n) => (sent, last_sent_at) = (sent + n, Instant::now()),
                 Err(_) => std::thread::sleep(Duration::from_millis(1)),
             }
         }
     }
 
-    pub fn leave(mut self, how: Leave) {
-        if let Leave::CloseBehind(n) | Leave::ResetBehind(n) = how {
+    /// Ends the connection in this way.
+    pub fn disconnect(mut self, how: Disconnect) {
+        if let Disconnect::CloseAfterBytes(n) | Disconnect::ResetAfterBytes(n) = how {
             self.send(&"x".repeat(n));
         }
-        if let Leave::CloseFull(most) = how {
-            self.fill(most);
+        if let Disconnect::CloseAfterFilling(max_bytes) = how {
+            self.fill_buffers(max_bytes);
         }
-        if let Leave::Reset | Leave::ResetBehind(_) = how {
-            SockRef::from(self.from.get_ref()).set_linger(Some(Duration::ZERO)).expect("an option");
+        if let Disconnect::Reset | Disconnect::ResetAfterBytes(_) = how {
+            SockRef::from(self.reader.get_ref()).set_linger(Some(Duration::ZERO)).expect("an option");
         }
     }
 
-    /// The next line, without its end.
-    pub fn line(&mut self) -> String {
+    /// Reads the next line and returns it without its line end.
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
-        self.from.read_line(&mut line).expect("a line");
+        self.reader.read_line(&mut line).expect("a line");
         line.trim_end().to_owned()
     }
 
-    /// Reads so many bytes.
-    pub fn take(&mut self, bytes: usize) -> Vec<u8> {
-        let mut taken = vec![0; bytes];
-        self.from.read_exact(&mut taken).expect("bytes");
-        taken
+    /// Reads exactly this many bytes.
+    pub fn read_bytes(&mut self, bytes: usize) -> Vec<u8> {
+        let mut buffer = vec![0; bytes];
+        self.reader.read_exact(&mut buffer).expect("bytes");
+        buffer
     }
 
-    /// What comes next, as it comes; `None` where the connection broke.
-    pub fn rest(&mut self) -> Option<Vec<u8>> {
-        let come = self.from.fill_buf().ok()?.to_vec();
-        self.from.consume(come.len());
-        Some(come)
+    /// Waits for bytes and returns those that are available; empty at the end of the stream, `None` on an error.
+    pub fn read_available(&mut self) -> Option<Vec<u8>> {
+        let bytes = self.reader.fill_buf().ok()?.to_vec();
+        self.reader.consume(bytes.len());
+        Some(bytes)
     }
 
-    /// Reads all that comes until the connection ends, in whatever way.
+    /// Reads until the connection ends, by a close or an error.
     pub fn read_to_end(&mut self) {
-        while self.rest().is_some_and(|rest| !rest.is_empty()) {}
+        while self.read_available().is_some_and(|bytes| !bytes.is_empty()) {}
     }
 
-    pub fn answer(&mut self) -> Option<Seen> {
-        read_message(&mut self.from, 0)
+    /// Reads an answer; returns `None` if the connection ends first.
+    pub fn read_answer(&mut self) -> Option<HttpMessage> {
+        read_message(&mut self.reader, 0)
     }
 
-    pub fn ask(&mut self, text: &str) -> Seen {
+    /// Sends a request and reads its answer.
+    pub fn ask(&mut self, text: &str) -> HttpMessage {
         self.send(text);
-        self.answer().expect("an answer")
+        self.read_answer().expect("an answer")
     }
 
-    /// Whether the gateway ends the connection, in whatever way, or answers with an error.
-    pub fn ended_or_failed(&mut self) -> bool {
-        match self.from.fill_buf() {
+    /// Waits for the next bytes or the end; returns whether the gateway closes or resets the connection, or answers with
+    /// an error status.
+    pub fn closed_or_error(&mut self) -> bool {
+        match self.reader.fill_buf() {
             Ok([]) => true,
-            Ok(_) => self.answer().is_some_and(|a| a.status() >= 400),
+            Ok(_) => self.read_answer().is_some_and(|a| a.status() >= 400),
             Err(e) => e.kind() == std::io::ErrorKind::ConnectionReset,
         }
     }
 
-    /// Whether the gateway has ended the connection.
-    pub fn at_end(&mut self) -> bool {
-        self.from.fill_buf().is_ok_and(|rest| rest.is_empty())
+    /// Waits for the next bytes or the end; returns whether the gateway has closed the connection.
+    pub fn at_eof(&mut self) -> bool {
+        self.reader.fill_buf().is_ok_and(|rest| rest.is_empty())
     }
 }
 
-/// A well-formed request for a class of the settings above.
-pub fn request(class: &str, customer: u64, wait_ms: u64) -> String {
+/// Formats a valid request of a class of `settings`, with a correlation id of its own and `time_left_ms` to its
+/// deadline.
+pub fn request(class: &str, customer: u64, time_left_ms: u64) -> String {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let id = NEXT.fetch_add(1, Ordering::Relaxed);
-    let (method, more, body) = match class {
+    let (method, extra_headers, body) = match class {
         "consulta" => ("GET", "", ""),
         "modificar" => ("POST", "idempotency-key: 5c0f6e1a2b3d4c59\r\ncontent-length: 4\r\n", "{42}"),
         _ => ("POST", "content-length: 4\r\n", "{42}"),
     };
     format!(
         "{method} /{class}/{customer:016x} HTTP/1.1\r\nhost: backend.local\r\nx-correlation-id: id-{id}\r\nplan: llano\r\n\
-         x-time-left-ms: {wait_ms}\r\nquota-info: units=1,spread=2,first=0\r\n{more}\r\n{body}"
+         x-time-left-ms: {time_left_ms}\r\nquota-info: units=1,spread=2,first=0\r\n{extra_headers}\r\n{body}"
     )
 }
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -62,7 +62,7 @@
     }
 
     async fn next(&mut self) -> (u64, Told) {
-        timeout(LONG, self.told.recv())
+        timeout(TEST_TIMEOUT, self.told.recv())
             .await
             .unwrap_or_else(|_| panic!("no end of {}", self.what))
             .expect("an end")
@@ -84,7 +84,7 @@
 
 /// The next of what a fake tells, while the client goes on.
 async fn come<T>(from: &Receiver<T>) -> T {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Ok(told) = from.try_recv() {
             return told;
@@ -99,18 +99,18 @@
 }
 
 /// A counter that holds each call until it is told to answer, with the call's own name as the total.
-fn holding() -> (Fake, Sender<()>) {
+fn holding() -> (FakeServer, Sender<()>) {
     let (go, wait) = channel();
     let wait = Mutex::new(wait);
-    let fake = Fake::start(move |seen| {
-        let _ = wait.lock().expect("unpoisoned").recv_timeout(LONG);
+    let fake = FakeServer::start(move |seen| {
+        let _ = wait.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
         named(seen)
     });
     (fake, go)
 }
 
 /// Answers with the call's name.
-fn named(seen: &Seen) -> Reaction {
+fn named(seen: &HttpMessage) -> Reaction {
     let name = seen.path().trim_start_matches("/v2/numbers/").split('?').next().expect("a name").to_owned();
     ok(&u64::from_str_radix(&name, 16).expect("a number").to_string())
 }
@@ -120,7 +120,7 @@
 #[test]
 fn an_answer_counts_as_what_the_protocol_says() {
     use CounterResult::{NotAdded, Overdue, Total, Unanswered};
-    use Reaction::{Answer, AnswerAndClose, Break, Pieces, PiecesAndReset, Silence};
+    use Reaction::{Answer, AnswerAndClose, Close, Pieces, PiecesAndReset, Silence};
     let no_length = |body: &str| format!("HTTP/1.1 200 OK\r\n\r\n{body}");
     let chunked = |rest: &str| format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{rest}");
     let split = |text: &str| text.bytes().map(|b| (0, char::from(b).to_string())).collect::<Vec<_>>();
@@ -134,7 +134,7 @@
         ("turned away", Answer(answer("503 No", "", "no")), vec![Now(NotAdded)], true),
         ("no such call", Answer(answer("404 No", "", "")), vec![Now(NotAdded)], true),
         ("an error", Answer(answer("500 No", "", "7")), vec![Now(Unanswered)], false),
-        ("broken", Break, vec![Now(Unanswered)], false),
+        ("broken", Close, vec![Now(Unanswered)], false),
         ("reset", PiecesAndReset(vec![]), vec![Now(Unanswered)], false),
         (
             "reset in its body",
@@ -171,15 +171,15 @@
             let (go, wait) = channel::<()>();
             let reactions = Mutex::new((wait, vec![Silence, ok("8"), reaction]));
             let late = what.contains("late");
-            let fake = Fake::start(move |_| {
+            let fake = FakeServer::start(move |_| {
                 let (wait, reactions) = &mut *reactions.lock().expect("unpoisoned");
                 if late && reactions.len() == 3 {
-                    let _ = wait.recv_timeout(LONG);
+                    let _ = wait.recv_timeout(TEST_TIMEOUT);
                 }
                 reactions.pop().unwrap_or(Silence)
             });
             tasks.push(tokio::task::spawn_local(async move {
-                let limit = if wanted.len() == 1 { LONG } else { SHORT };
+                let limit = if wanted.len() == 1 { TEST_TIMEOUT } else { SHORT };
                 let mut client = Client::within(limit, fake.address, what);
                 let mut ends = vec![client.ask(1).await];
                 go.send(()).expect("it waits");
@@ -187,13 +187,13 @@
                     ends.push(client.next().await.1);
                 }
                 assert_eq!(ends, wanted, "{what}");
-                sleep(SETTLED).await;
+                sleep(CONNECTION_REUSE_DELAY).await;
                 let mut second = client.ask(2).await;
                 if second == Now(Overdue) {
                     second = client.next().await.1;
                 }
                 assert!(matches!(second, Now(Total(8.0)) | Late(Total(8.0))), "{what}: {second:?}");
-                assert_eq!(fake.connections.load(Ordering::SeqCst), if again { 1 } else { 2 }, "{what}");
+                assert_eq!(fake.connection_count.load(Ordering::SeqCst), if again { 1 } else { 2 }, "{what}");
             }));
         }
         for task in tasks {
@@ -209,19 +209,19 @@
     const LATE: Duration = Duration::from_millis(8);
     run(async {
         let last: Mutex<HashMap<usize, Instant>> = Mutex::default();
-        let out = Fake::start(move |seen| {
-            let Reaction::Answer(own) = named(seen) else { return Reaction::Break };
-            let before = last.lock().expect("unpoisoned").insert(seen.conn, Instant::now());
+        let out = FakeServer::start(move |seen| {
+            let Reaction::Answer(own) = named(seen) else { return Reaction::Close };
+            let before = last.lock().expect("unpoisoned").insert(seen.connection, Instant::now());
             // On its way as this call was written.
             let second = before.filter(|at| at.elapsed() < LATE).map(|_| total(POISON));
             Reaction::Answer(second.unwrap_or_default() + &own)
         });
-        let idle = Fake::start(|seen| {
-            let Reaction::Answer(own) = named(seen) else { return Reaction::Break };
+        let idle = FakeServer::start(|seen| {
+            let Reaction::Answer(own) = named(seen) else { return Reaction::Close };
             Reaction::Pieces(vec![(0, own), (3, total(POISON))])
         });
         for (fake, calls, pause) in [(out, 40, 0), (idle, 4, 300)] {
-            let mut client = Client::within(LONG, fake.address, "second answers");
+            let mut client = Client::within(TEST_TIMEOUT, fake.address, "second answers");
             for name in 1..calls {
                 assert_eq!(
                     client.ask(name).await,
@@ -239,7 +239,7 @@
 #[test]
 fn places_are_bounded_and_come_free() {
     run(async {
-        let silent = Fake::start(|_| Reaction::Silence);
+        let silent = FakeServer::start(|_| Reaction::Silence);
         let mut client = Client::within(SHORT, silent.address, "all silent");
         (0..40).for_each(|n| client.call(n));
         let mut ends = Vec::new();
@@ -249,11 +249,11 @@
         let count = |end| ends.iter().filter(|e| **e == end).count();
         let (away, overdue) = (count(Now(CounterResult::NotAdded)), count(Now(CounterResult::Overdue)));
         assert_eq!((away, overdue, count(Late(CounterResult::Unanswered))), (20, 20, 20));
-        assert_eq!(silent.connections.load(Ordering::SeqCst), 20);
+        assert_eq!(silent.connection_count.load(Ordering::SeqCst), 20);
         assert_eq!(client.ask(99).await, Now(CounterResult::Overdue), "the places are free again");
 
-        let well = Fake::start(named);
-        let mut client = Client::within(LONG, well.address, "bursts");
+        let well = FakeServer::start(named);
+        let mut client = Client::within(TEST_TIMEOUT, well.address, "bursts");
         for round in 0..40 {
             (0..16).for_each(|n| client.call(16 * round + n));
             for _ in 0..16 {
@@ -261,7 +261,7 @@
                 assert_eq!(end, Now(CounterResult::Total(name as f64)));
             }
         }
-        let most = well.open.1.load(Ordering::SeqCst);
+        let most = well.open_connections.1.load(Ordering::SeqCst);
         assert!(most <= 32, "{most} connections were open at once");
     });
 }
@@ -271,8 +271,8 @@
 #[test]
 fn what_a_burst_needs_stays_open_while_calls_come_one_by_one() {
     run(async {
-        let fake = counter();
-        let mut client = Client::within(LONG, fake.address, "a call");
+        let fake = fake_counter();
+        let mut client = Client::within(TEST_TIMEOUT, fake.address, "a call");
         for _ in 0..2 {
             (1..=2).for_each(|name| client.call(name));
             for _ in 0..2 {
@@ -283,9 +283,9 @@
                 sleep(Duration::from_millis(450)).await;
                 client.ask(3).await;
             }
-            sleep(SETTLED).await;
+            sleep(CONNECTION_REUSE_DELAY).await;
         }
-        assert_eq!(fake.connections.load(Ordering::SeqCst), 2);
+        assert_eq!(fake.connection_count.load(Ordering::SeqCst), 2);
     });
 }
 
@@ -296,16 +296,17 @@
 fn calls_end_where_they_are_and_later_ones_go_to_the_new_address() {
     use CounterResult::{Overdue, Total};
     run(async {
-        let ((old, go), new) = (holding(), Fake::start(named));
+        let ((old, go), new) = (holding(), FakeServer::start(named));
         let mut client = Client::within(4 * SHORT, old.address, "moves");
         // One connection is idle, two calls are out: one that ends in time, one that is overdue.
         go.send(()).expect("it waits");
         assert_eq!(client.ask(1).await, Now(Total(1.0)));
-        sleep(SETTLED).await;
+        sleep(CONNECTION_REUSE_DELAY).await;
         client.call(2);
-        sleep(SETTLED).await;
+        sleep(CONNECTION_REUSE_DELAY).await;
         client.call(3);
-        let conns = [come(&old.seen).await, come(&old.seen).await, come(&old.seen).await].map(|s| s.conn);
+        let conns = [come(&old.requests).await, come(&old.requests).await, come(&old.requests).await]
+            .map(|s| s.connection);
         assert_eq!(conns, [0, 0, 1]);
         client.counter.move_to(new.address);
         client.call(4);
@@ -319,12 +320,12 @@
         let mut late = [client.next().await, client.next().await];
         late.sort_by_key(|l| l.0);
         assert_eq!(late, [(2, Late(Total(2.0))), (3, Late(Total(3.0)))]);
-        let mut ended = [come(&old.ended).await, come(&old.ended).await];
+        let mut ended = [come(&old.closed_by_peer).await, come(&old.closed_by_peer).await];
         ended.sort();
         assert_eq!(ended, [0, 1]);
         go.send(()).expect("it waits");
         assert_eq!(client.ask(5).await, Now(Total(5.0)));
-        assert_eq!((old.next().conn, new.seen.try_iter().count()), (2, 1));
+        assert_eq!((old.next_request().connection, new.requests.try_iter().count()), (2, 1));
     });
 }
 
@@ -333,18 +334,18 @@
 fn a_connection_that_comes_up_after_a_move_carries_nothing() {
     for back in [false, true] {
         run(async {
-            let (old, new) = (Mute::start(), Fake::start(named));
+            let (old, new) = (FullBacklogListener::start(), FakeServer::start(named));
             let address = old.address;
-            let mut client = Client::within(LONG, address, "late");
+            let mut client = Client::within(TEST_TIMEOUT, address, "late");
             client.call(1);
             sleep(Duration::from_millis(20)).await;
             client.counter.move_to(new.address);
-            let old = old.open(named);
+            let old = old.start_accepting(named);
             if back {
                 client.counter.move_to(address);
             }
             assert_eq!(client.next().await, (1, Now(CounterResult::Total(1.0))));
-            let (old, new) = (old.seen.try_iter().count(), new.seen.try_iter().count());
+            let (old, new) = (old.requests.try_iter().count(), new.requests.try_iter().count());
             assert_eq!((old, new), if back { (1, 0) } else { (0, 1) });
         });
     }
@@ -354,8 +355,9 @@
 #[test]
 fn moves_leave_no_place_taken() {
     run(async {
-        let fakes = [Fake::start(named), Fake::start(|_| Reaction::Break), Fake::start(named)];
-        let mut client = Client::within(LONG, fakes[0].address, "many moves");
+        let fakes =
+            [FakeServer::start(named), FakeServer::start(|_| Reaction::Close), FakeServer::start(named)];
+        let mut client = Client::within(TEST_TIMEOUT, fakes[0].address, "many moves");
         for n in 0..90 {
             client.call(n);
             client.call(n);
@@ -380,20 +382,20 @@
 /// and turned away. What both addresses have added is what was spent.
 #[test]
 fn what_was_spent_is_added_once_whatever_moves() {
-    let numbers = Numbers::default();
+    let numbers = CounterTotals::default();
     let address = |delay: u64| {
         let (numbers, calls) = (numbers.clone(), AtomicUsize::new(0));
-        Fake::start(move |seen| {
+        FakeServer::start(move |seen| {
             let away = calls.fetch_add(1, Ordering::SeqCst) % 3 == 2;
             let answer = if away { answer("503 No", "", "") } else { total(&numbers.add(seen)) };
             Reaction::Pieces(vec![(delay, answer)])
         })
     };
-    let (old, new, backend) = (address(120), address(40), Fake::start(|_| ok("x")));
-    let discovery = Discovery::start(vec![entry("s-0", backend.address, "SERVING")]);
+    let (old, new, backend) = (address(120), address(40), FakeServer::start(|_| ok("x")));
+    let discovery = FakeDiscovery::start(vec![entry("s-0", backend.address, "SERVING")]);
     // A window of a minute: what is turned away has time to be added.
-    let start = Start { rate: 100.0, burst: 6000.0, ..Start::default() };
-    let gateway = Gateway::start(&start, discovery.fake.address, old.address);
+    let start = GatewayOptions { rate: 100.0, burst: 6000.0, ..GatewayOptions::default() };
+    let gateway = Gateway::start(&start, discovery.server.address, old.address);
     let (mut client, mut spent) = (gateway.client(), 0.0);
     for to in [&new, &old, &new] {
         for customer in 0..40 {
@@ -401,14 +403,14 @@
             spent += 1.0;
             std::thread::sleep(Duration::from_millis(20));
         }
-        gateway.reload(discovery.fake.address, to.address);
+        gateway.reload(discovery.server.address, to.address);
     }
-    numbers.come_to(spent);
+    numbers.wait_for_sum(spent);
     // Nothing more is owed, and nothing comes to the address that was left.
-    old.seen.try_iter().for_each(drop);
+    old.requests.try_iter().for_each(drop);
     std::thread::sleep(Duration::from_millis(1_500));
     assert_eq!(
-        (numbers.sum(), old.seen.try_iter().count(), old.open.0.load(Ordering::SeqCst)),
+        (numbers.sum(), old.requests.try_iter().count(), old.open_connections.0.load(Ordering::SeqCst)),
         (spent, 0, 0)
     );
 }
@@ -417,21 +419,21 @@
 /// second answer to another's call.
 #[test]
 fn nobody_is_refused_for_a_second_answer() {
-    let (numbers, last) = (Numbers::default(), Mutex::<HashMap<usize, Instant>>::default());
-    let counter = Fake::start(move |call| {
+    let (numbers, last) = (CounterTotals::default(), Mutex::<HashMap<usize, Instant>>::default());
+    let counter = FakeServer::start(move |call| {
         let own = total(&numbers.add(call));
-        let before = last.lock().expect("unpoisoned").insert(call.conn, Instant::now());
+        let before = last.lock().expect("unpoisoned").insert(call.connection, Instant::now());
         let second = before.filter(|at| at.elapsed() < Duration::from_millis(8)).map(|_| total(POISON));
         Reaction::Answer(second.unwrap_or_default() + &own)
     });
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     // As many as keep a gateway from taking the fleet to be too busy, whatever this machine does beside.
     let entries = (0..8).map(|n| entry(&format!("s-{n}"), backend.address, "SERVING"));
-    let discovery = Discovery::start(entries.collect());
+    let discovery = FakeDiscovery::start(entries.collect());
     let changes = &[("\"count_limit_us\":80000", "\"count_limit_us\":2000000")];
-    let start = Start { rate: 0.2, burst: 4.0, changes, ..Start::default() };
-    let gateway = Gateway::start(&start, discovery.fake.address, counter.address);
-    discovery.settled();
+    let start = GatewayOptions { rate: 0.2, burst: 4.0, changes, ..GatewayOptions::default() };
+    let gateway = Gateway::start(&start, discovery.server.address, counter.address);
+    discovery.wait_until_list_received();
     let refused = AtomicUsize::new(0);
     std::thread::scope(|threads| {
         for first in 0..4 {
--- a/node/tests/descriptor_peak.rs
+++ b/node/tests/descriptor_peak.rs
@@ -18,22 +18,22 @@
 /// many makes way before the next one is let in, and one that says what it wants is heard among them.
 #[test]
 fn callers_at_the_door_that_come_at_once_take_no_more_than_their_part() {
-    let _alone = alone();
-    let backends: Vec<_> = (0..60).map(|_| Fake::start(|_| Reaction::Silence)).collect();
+    let _alone = exclusive_test_lock();
+    let backends: Vec<_> = (0..60).map(|_| FakeServer::start(|_| Reaction::Silence)).collect();
     let entries = backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "SERVING"));
-    let discovery = Discovery::start(entries.collect());
-    let counter = counter();
-    let gateway = Gateway::start(&Start::default(), discovery.fake.address, counter.address);
+    let discovery = FakeDiscovery::start(entries.collect());
+    let counter = fake_counter();
+    let gateway = Gateway::start(&GatewayOptions::default(), discovery.server.address, counter.address);
     assert!(gateway.descriptor_slots() <= LIMIT, "the measure tells nothing");
-    discovery.settled();
+    discovery.wait_until_list_received();
     // Places of clients are full, and backends have work that lasts.
     let mut held: Vec<_> = (0..PLACES).map(|_| connect(gateway.address)).collect();
     for client in &mut held[..40] {
         client.get_mut().write_all(request("consulta", 7, 3000).as_bytes()).expect("a request");
     }
-    let until = Instant::now() + LONG;
-    while gateway.descriptors() < PLACES + 40 {
-        assert!(Instant::now() < until, "{} descriptors held", gateway.descriptors());
+    let until = Instant::now() + TEST_TIMEOUT;
+    while gateway.open_descriptors() < PLACES + 40 {
+        assert!(Instant::now() < until, "{} descriptors held", gateway.open_descriptors());
         std::thread::sleep(Duration::from_millis(5));
     }
     // All of them stand in the line when the process goes on.
@@ -43,7 +43,7 @@
     let callers: Vec<_> = (0..CALLERS).map(|_| connect(gateway.ops)).collect();
     gateway.signal("-CONT");
     assert_eq!(read_message(&mut caller, 0).map(|a| a.status()), Some(200));
-    assert_eq!(gateway.call("GET /ready").status(), 200);
+    assert_eq!(gateway.ops_request("GET /ready").status(), 200);
     let slots = gateway.descriptor_slots();
     assert!(slots <= LIMIT, "{slots} slots");
     drop((held, callers));
--- a/node/tests/descriptor_peak_backends.rs
+++ b/node/tests/descriptor_peak_backends.rs
@@ -22,26 +22,26 @@
     let held: Arc<(Mutex<bool>, Condvar)> = Arc::default();
     let start = || {
         let held = held.clone();
-        Fake::start(move |_| {
+        FakeServer::start(move |_| {
             let open = held.0.lock().expect("unpoisoned");
-            drop(held.1.wait_timeout_while(open, LONG, |open| !*open).expect("unpoisoned"));
+            drop(held.1.wait_timeout_while(open, TEST_TIMEOUT, |open| !*open).expect("unpoisoned"));
             ok("x")
         })
     };
     let backends: Vec<_> = (0..60).map(|_| start()).collect();
     let entries = backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "SERVING"));
-    let discovery = Discovery::start(entries.collect());
-    let counter = counter();
-    let gateway = Gateway::start(&Start::default(), discovery.fake.address, counter.address);
+    let discovery = FakeDiscovery::start(entries.collect());
+    let counter = fake_counter();
+    let gateway = Gateway::start(&GatewayOptions::default(), discovery.server.address, counter.address);
     assert!(gateway.descriptor_slots() <= LIMIT, "the measure tells nothing");
-    discovery.settled();
+    discovery.wait_until_list_received();
     // As many requests at once leave as many connections idle.
     let mut clients: Vec<_> = (0..PLACES).map(|_| connect(gateway.address)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.get_mut().write_all(request("consulta", n as u64, 3000).as_bytes()).expect("a request");
     }
-    let made = || backends.iter().map(|b| b.connections.load(Ordering::SeqCst)).sum::<usize>();
-    let until = Instant::now() + LONG;
+    let made = || backends.iter().map(|b| b.connection_count.load(Ordering::SeqCst)).sum::<usize>();
+    let until = Instant::now() + TEST_TIMEOUT;
     while made() < MANY {
         assert!(Instant::now() < until, "{} connections", made());
         std::thread::sleep(Duration::from_millis(5));
@@ -58,12 +58,12 @@
         client.get_mut().write_all(text.as_bytes()).expect("half a body");
     }
     gateway.signal("-CONT");
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     while made() < idle + MANY {
         assert!(Instant::now() < until, "{} new connections", made() - idle);
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(gateway.call("GET /ready").status(), 200);
+    assert_eq!(gateway.ops_request("GET /ready").status(), 200);
     let slots = gateway.descriptor_slots();
     assert!(slots <= LIMIT, "{slots} slots");
     let rest = "y".repeat(100_000);
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -54,7 +54,7 @@
         let stop = Arc::new(AtomicBool::new(false));
         let stopped = stop.clone();
         let thread = std::thread::spawn(move || {
-            let (mut held, until) = (VecDeque::new(), Instant::now() + 2 * LONG);
+            let (mut held, until) = (VecDeque::new(), Instant::now() + 2 * TEST_TIMEOUT);
             let (mut asked, mut unserved) = (0, Vec::new());
             for n in 0.. {
                 if stopped.load(Ordering::SeqCst) || Instant::now() > until {
@@ -99,11 +99,11 @@
 /// Discovery that is away, until it is back with a list of its own.
 struct Absent {
     address: SocketAddr,
-    back: Box<dyn FnOnce(Vec<String>) -> Fake>,
+    back: Box<dyn FnOnce(Vec<String>) -> FakeServer>,
 }
 
 /// Discovery's answers with one list that does not change.
-fn listing(entries: Vec<String>) -> impl Fn(&Seen) -> Reaction + Send + Sync + 'static {
+fn listing(entries: Vec<String>) -> impl Fn(&HttpMessage) -> Reaction + Send + Sync + 'static {
     move |seen| match seen.path().contains("index=7&") {
         false => ok(&list(7, true, &entries)),
         true => {
@@ -117,18 +117,18 @@
     fn start(away: Away) -> Self {
         match away {
             Away::Refused => {
-                let address = free_port();
+                let address = unused_address();
                 let listen = move || TcpListener::bind(address).expect("a free port");
-                Absent { address, back: Box::new(move |e| Fake::over(listen(), listing(e))) }
+                Absent { address, back: Box::new(move |e| FakeServer::with_listener(listen(), listing(e))) }
             }
             Away::NotComingUp => {
-                let mute = Mute::start();
-                Absent { address: mute.address, back: Box::new(move |e| mute.open(listing(e))) }
+                let mute = FullBacklogListener::start();
+                Absent { address: mute.address, back: Box::new(move |e| mute.start_accepting(listing(e))) }
             }
             Away::Silent => {
                 let entries: Arc<Mutex<Option<Vec<String>>>> = Arc::default();
                 let held = entries.clone();
-                let fake = Fake::start(move |seen| match held.lock().expect("unpoisoned").clone() {
+                let fake = FakeServer::start(move |seen| match held.lock().expect("unpoisoned").clone() {
                     Some(entries) => listing(entries)(seen),
                     None => Reaction::Silence,
                 });
@@ -145,19 +145,19 @@
 
 /// Waits until the crowd holds all that the gateway lets it hold.
 fn filled(gateway: &Gateway) {
-    let until = Instant::now() + LONG;
-    while gateway.descriptors() < PLACES + 10 {
-        assert!(Instant::now() < until, "{} descriptors held: {}", gateway.descriptors(), gateway.log());
+    let until = Instant::now() + TEST_TIMEOUT;
+    while gateway.open_descriptors() < PLACES + 10 {
+        assert!(Instant::now() < until, "{} descriptors held: {}", gateway.open_descriptors(), gateway.log());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 /// The whole term, with discovery away in this way: the process's own limit is 256, whatever the file allows.
 fn idle_clients_fill_the_descriptors(away: Away, sockets: u32) {
-    let _alone = alone();
+    let _alone = exclusive_test_lock();
     // For one class, each request needs a connection of its own.
     let backend = |body: &'static str| {
-        Fake::start(move |seen| {
+        FakeServer::start(move |seen| {
             // As many as there are, and at this pace, they are far from busy.
             std::thread::sleep(Duration::from_millis(5));
             match seen.path().starts_with("/modificar") {
@@ -167,16 +167,16 @@
         })
     };
     let (leave, stay) = ([(); 4].map(|()| backend("a")), [(); 4].map(|()| backend("b")));
-    let named = |name: &'static str, backends: &[Fake], status: &'static str| -> Vec<_> {
+    let named = |name: &'static str, backends: &[FakeServer], status: &'static str| -> Vec<_> {
         let each = backends.iter().enumerate();
         each.map(|(i, b)| entry(&format!("{name}-{i}"), b.address, status)).collect()
     };
-    let made = || leave.iter().map(|b| b.connections.load(Ordering::SeqCst)).sum::<usize>();
-    let discovery = Discovery::start(named("a", &leave, "SERVING"));
-    let (counter, next_counter) = (counter(), common::counter());
-    let start = Start { sockets, descriptors: Some(LIMIT), ..Start::default() };
-    let gateway = Gateway::start(&start, discovery.fake.address, counter.address);
-    discovery.settled();
+    let made = || leave.iter().map(|b| b.connection_count.load(Ordering::SeqCst)).sum::<usize>();
+    let discovery = FakeDiscovery::start(named("a", &leave, "SERVING"));
+    let (counter, next_counter) = (fake_counter(), common::fake_counter());
+    let start = GatewayOptions { sockets, descriptor_limit: Some(LIMIT), ..GatewayOptions::default() };
+    let gateway = Gateway::start(&start, discovery.server.address, counter.address);
+    discovery.wait_until_list_received();
     let crowd = Crowd::start(gateway.address);
     filled(&gateway);
 
@@ -191,24 +191,25 @@
             Some(200),
             "{} {}",
             gateway.log(),
-            gateway.figures()
+            gateway.metrics()
         );
-        assert_eq!(regular.ask("modificar"), Some(200), "{} {}", gateway.log(), gateway.figures());
+        assert_eq!(regular.ask("modificar"), Some(200), "{} {}", gateway.log(), gateway.metrics());
         asked += 2;
         let called = Instant::now();
-        assert_eq!(gateway.call("GET /ready").status(), 200);
+        assert_eq!(gateway.ops_request("GET /ready").status(), 200);
         assert!(called.elapsed() < Duration::from_secs(1), "an ops call took {:?}", called.elapsed());
-        most = most.max(gateway.descriptors());
+        most = most.max(gateway.open_descriptors());
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(gateway.log().contains("reloaded: "), "{} {}", gateway.log(), gateway.figures());
-    next_counter.next();
+    assert!(gateway.log().contains("reloaded: "), "{} {}", gateway.log(), gateway.metrics());
+    next_counter.next_request();
     let made = made() - before;
     assert!(made >= asked / 2, "{made} connections for {asked} requests");
 
     // Discovery returns, and the list is followed.
     let entries = [named("a", &leave, "DRAINING"), named("b", &stay, "SERVING")].concat();
-    let seen = |backends: &[Fake]| -> Vec<_> { backends.iter().flat_map(|b| b.seen.try_iter()).collect() };
+    let seen =
+        |backends: &[FakeServer]| -> Vec<_> { backends.iter().flat_map(|b| b.requests.try_iter()).collect() };
     seen(&leave);
     let back = Instant::now();
     let _returned = (absent.back)(entries);
@@ -218,12 +219,12 @@
             Some(200),
             "{} {}",
             gateway.log(),
-            gateway.figures()
+            gateway.metrics()
         );
-        assert_eq!(regular.ask("consulta"), Some(200), "{} {}", gateway.log(), gateway.figures());
-        most = most.max(gateway.descriptors());
+        assert_eq!(regular.ask("consulta"), Some(200), "{} {}", gateway.log(), gateway.metrics());
+        most = most.max(gateway.open_descriptors());
     }
-    let after = |s: Seen| s.at.saturating_duration_since(back);
+    let after = |s: HttpMessage| s.received_at.saturating_duration_since(back);
     let last = seen(&leave).into_iter().map(after).max();
     assert!(last.is_none_or(|at| at < GRACE), "sent to a backend that drains {last:?} after the return");
     let first = seen(&stay).into_iter().map(after).min();
@@ -261,13 +262,13 @@
 /// and is about to ask.
 #[test]
 fn a_client_that_is_about_to_ask_does_not_make_way_for_the_next() {
-    let _alone = alone();
+    let _alone = exclusive_test_lock();
     for rests in [true, false] {
-        let backend = Fake::start(|_| ok("x"));
-        let discovery = Discovery::start(vec![entry("s-0", backend.address, "SERVING")]);
-        let counter = counter();
-        let gateway = Gateway::start(&Start::default(), discovery.fake.address, counter.address);
-        discovery.settled();
+        let backend = FakeServer::start(|_| ok("x"));
+        let discovery = FakeDiscovery::start(vec![entry("s-0", backend.address, "SERVING")]);
+        let counter = fake_counter();
+        let gateway = Gateway::start(&GatewayOptions::default(), discovery.server.address, counter.address);
+        discovery.wait_until_list_received();
         let mut held: Vec<_> = (0..PLACES).map(|_| connect(gateway.address)).collect();
         for client in &mut held {
             match rests {
@@ -288,12 +289,12 @@
 /// come at once make way before it is given up.
 #[test]
 fn half_heads_that_come_at_once_cost_no_proper_client_its_answer() {
-    let _alone = alone();
-    let backend = Fake::start(|_| ok("x"));
-    let discovery = Discovery::start(vec![entry("s-0", backend.address, "SERVING")]);
-    let counter = counter();
-    let gateway = Gateway::start(&Start::default(), discovery.fake.address, counter.address);
-    discovery.settled();
+    let _alone = exclusive_test_lock();
+    let backend = FakeServer::start(|_| ok("x"));
+    let discovery = FakeDiscovery::start(vec![entry("s-0", backend.address, "SERVING")]);
+    let counter = fake_counter();
+    let gateway = Gateway::start(&GatewayOptions::default(), discovery.server.address, counter.address);
+    discovery.wait_until_list_received();
     let half = || {
         let mut client = connect(gateway.address);
         client.get_mut().write_all(HALF_HEAD.as_bytes()).expect("half a head");
@@ -312,19 +313,20 @@
 /// all others that would make way.
 #[test]
 fn a_client_that_does_not_read_its_answer_keeps_no_other_from_making_way() {
-    let _alone = alone();
+    let _alone = exclusive_test_lock();
     let large = "y".repeat(64 * 1024);
-    let backend = Fake::start(move |seen| if seen.path().ends_with("5") { ok(&large) } else { ok("x") });
-    let discovery = Discovery::start(vec![entry("s-0", backend.address, "SERVING")]);
-    let counter = counter();
-    let gateway = Gateway::start(&Start::default(), discovery.fake.address, counter.address);
-    discovery.settled();
+    let backend =
+        FakeServer::start(move |seen| if seen.path().ends_with("5") { ok(&large) } else { ok("x") });
+    let discovery = FakeDiscovery::start(vec![entry("s-0", backend.address, "SERVING")]);
+    let counter = fake_counter();
+    let gateway = Gateway::start(&GatewayOptions::default(), discovery.server.address, counter.address);
+    discovery.wait_until_list_received();
     // So many requests does the gateway read of one that takes no answers.
     let mut first = deaf(gateway.address);
     let mut reads = 0;
     loop {
         first.write_all(request("consulta", 5, 1100).as_bytes()).expect("a request");
-        if backend.seen.recv_timeout(Duration::from_millis(300)).is_err() {
+        if backend.requests.recv_timeout(Duration::from_millis(300)).is_err() {
             break;
         }
         reads += 1;
@@ -334,7 +336,7 @@
     let mut deaf = deaf(gateway.address);
     for _ in 0..reads {
         deaf.write_all(request("consulta", 5, 1100).as_bytes()).expect("a request");
-        backend.next();
+        backend.next_request();
     }
     std::thread::sleep(Duration::from_millis(50));
     let mut resting: Vec<_> = (1..PLACES).map(|_| connect(gateway.address)).collect();
@@ -357,11 +359,11 @@
 /// Guards against a limit that is silently gone over because it can't be kept: the error is one plain line.
 #[test]
 fn a_limit_that_is_too_low_ends_the_start_with_one_plain_line() {
-    let _alone = alone();
+    let _alone = exclusive_test_lock();
     for (sockets, descriptors) in [(64, None), (1024, Some(64))] {
-        let start = Start { sockets, descriptors, ..Start::default() };
-        let mut gateway = Gateway::launch(&start, free_port(), free_port());
-        assert!(!gateway.wait().success());
+        let start = GatewayOptions { sockets, descriptor_limit: descriptors, ..GatewayOptions::default() };
+        let mut gateway = Gateway::launch(&start, unused_address(), unused_address());
+        assert!(!gateway.wait_for_exit().success());
         let log = gateway.log();
         assert_eq!(log.lines().count(), 1, "{log}");
         assert!(log.contains("descriptors"), "{log}");
--- a/node/tests/flow.rs
+++ b/node/tests/flow.rs
@@ -7,8 +7,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-fn gateway(backends: &[&Fake], memory_mb: u32) -> Scene {
-    Scene::new(&Start { memory_mb, ..Start::default() }, serving(backends), counter())
+fn gateway(backends: &[&FakeServer], memory_mb: u32) -> Fixture {
+    Fixture::new(
+        &GatewayOptions { memory_mb, ..GatewayOptions::default() },
+        serving_entries(backends),
+        fake_counter(),
+    )
 }
 
 const LARGE: usize = 24 << 20;
@@ -23,16 +27,16 @@
 #[test]
 fn long_bodies_go_through_in_little_memory() {
     let answer = "z".repeat(LARGE);
-    let backend = Fake::start(move |_| ok(&answer));
+    let backend = FakeServer::start(move |_| ok(&answer));
     let scene = gateway(&[&backend], 32);
     let text = form(&format!("content-length: {LARGE}"), &"y".repeat(LARGE));
     let answer = scene.gateway.client().ask(&text);
     assert_eq!((answer.status(), answer.body.len()), (200, LARGE));
     assert!(answer.body.iter().all(|b| *b == b'z'));
-    let seen = backend.next();
+    let seen = backend.next_request();
     assert!(seen.body.len() == LARGE && seen.body.iter().all(|b| *b == b'y'));
-    assert!(scene.gateway.memory_mb() < 16, "{} MB", scene.gateway.memory_mb());
-    let figures = scene.gateway.figures();
+    assert!(scene.gateway.peak_memory_mb() < 16, "{} MB", scene.gateway.peak_memory_mb());
+    let figures = scene.gateway.metrics();
     assert_eq!((&figures["passed"]["orden-nueva"], &figures["upstream_tries"]), (&1.into(), &1.into()));
 }
 
@@ -40,27 +44,27 @@
 #[test]
 fn an_answer_waits_for_its_client() {
     let answer = "z".repeat(LARGE);
-    let backend = Fake::start(move |_| ok(&answer));
+    let backend = FakeServer::start(move |_| ok(&answer));
     let scene = gateway(&[&backend], 32);
     let mut slow: Vec<Client> = (0..4).map(|_| scene.gateway.client()).collect();
     slow.iter_mut().enumerate().for_each(|(n, c)| c.send(&request("consulta", n as u64, 2000)));
     for client in &mut slow {
-        assert_eq!(client.line(), "HTTP/1.1 200 OK");
+        assert_eq!(client.read_line(), "HTTP/1.1 200 OK");
     }
-    assert_eq!(scene.gateway.figures()["in_progress"], 4);
-    assert!(scene.gateway.memory_mb() < 16, "{} MB", scene.gateway.memory_mb());
+    assert_eq!(scene.gateway.metrics()["in_progress"], 4);
+    assert!(scene.gateway.peak_memory_mb() < 16, "{} MB", scene.gateway.peak_memory_mb());
     for client in &mut slow {
-        while !client.line().is_empty() {}
-        assert!(client.take(LARGE).iter().all(|b| *b == b'z'));
+        while !client.read_line().is_empty() {}
+        assert!(client.read_bytes(LARGE).iter().all(|b| *b == b'z'));
     }
-    while scene.gateway.figures()["in_progress"] != 0 {}
-    assert_eq!(scene.gateway.figures()["passed"]["consulta"], 4);
+    while scene.gateway.metrics()["in_progress"] != 0 {}
+    assert_eq!(scene.gateway.metrics()["passed"]["consulta"], 4);
 }
 
 /// Guards against proper requests turned away for their form.
 #[test]
 fn every_form_of_a_body_is_served() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let scene = gateway(&[&backend], 32);
     let mut client = scene.gateway.client();
     let mut chunks = String::new();
@@ -84,21 +88,21 @@
     ];
     for (text, length) in cases {
         assert_eq!(client.ask(&text).status(), 200, "{:.400}", text);
-        let seen = backend.next();
+        let seen = backend.next_request();
         assert_eq!((seen.body.len(), seen.header("trailer")), (length, None), "{:.400}", text);
     }
     // The body is sent once it has been asked for.
     let text = form("content-length: 4\r\nexpect: 100-continue", "{42}");
     let (head, body) = text.split_at(text.len() - 4);
     client.send(head);
-    assert_eq!((client.line(), client.line()), ("HTTP/1.1 100 Continue".to_owned(), String::new()));
+    assert_eq!((client.read_line(), client.read_line()), ("HTTP/1.1 100 Continue".to_owned(), String::new()));
     assert_eq!(client.ask(body).status(), 200);
-    assert_eq!(backend.next().header("expect"), None);
+    assert_eq!(backend.next_request().header("expect"), None);
     // Cut anywhere.
     for byte in form("transfer-encoding: chunked", "4\r\n{42}\r\n0\r\n\r\n").chars() {
         client.send(&byte.to_string());
     }
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_answer().expect("an answer").status(), 200);
 }
 
 /// Guards against a second copy of what can't be sent from its beginning again, and against a refusal that is
@@ -107,11 +111,11 @@
 fn a_body_that_was_begun_is_not_sent_again() {
     let count = Arc::new(AtomicUsize::new(0));
     let asked = count.clone();
-    let full = move |_: &Seen| {
+    let full = move |_: &HttpMessage| {
         asked.fetch_add(1, Ordering::SeqCst);
         Reaction::Answer(answer("503 Service Unavailable", "x-unprocessed: 1\r\n", ""))
     };
-    let backends = [Fake::start(full.clone()), Fake::start(full)];
+    let backends = [FakeServer::start(full.clone()), FakeServer::start(full)];
     let scene = gateway(&[&backends[0], &backends[1]], 32);
     let mut client = scene.gateway.client();
     let refused = client.ask(&form(&format!("content-length: {LARGE}"), &"y".repeat(LARGE)));
@@ -132,12 +136,12 @@
         half("transfer-encoding: chunked", &format!("186a0\r\n{chunk}\r\n")),
     ];
     for text in texts {
-        let backend = Fake::start(move |_| Reaction::AnswerAndClose(text.clone()));
+        let backend = FakeServer::start(move |_| Reaction::AnswerAndClose(text.clone()));
         let scene = gateway(&[&backend], 32);
         let mut client = scene.gateway.client();
         client.send(&request("consulta", 1, 2000));
-        assert!(client.answer().is_none());
-        while scene.gateway.figures()["bad_gateway"]["consulta"] != 1 {}
+        assert!(client.read_answer().is_none());
+        while scene.gateway.metrics()["bad_gateway"]["consulta"] != 1 {}
     }
 }
 
@@ -147,7 +151,7 @@
 /// Whether what is left to read is the beginning of an answer and no more.
 fn breaks_off(client: &mut Client) -> bool {
     loop {
-        match client.rest() {
+        match client.read_available() {
             Some(rest) if rest.ends_with(b"0\r\n\r\n") => return false,
             Some(rest) if !rest.is_empty() => continue,
             _ => return true,
@@ -158,7 +162,7 @@
 /// Guards against an answer without end that is passed on without end: it breaks off as its request's time is up.
 #[test]
 fn an_answer_that_does_not_end_breaks_off_in_the_request_s_time() {
-    let backend = Fake::start(|_| Reaction::Answer(ENDLESS.to_owned()));
+    let backend = FakeServer::start(|_| Reaction::Answer(ENDLESS.to_owned()));
     let scene = gateway(&[&backend], 64);
     let began = Instant::now();
     let mut client = scene.gateway.client();
@@ -166,20 +170,20 @@
     assert!(breaks_off(&mut client), "passed on as if whole");
     let took = began.elapsed();
     assert!(took < Duration::from_millis(1400), "{took:?}");
-    backend.ended.recv_timeout(LONG).expect("the attempt's connection is closed");
+    backend.closed_by_peer.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
 }
 
 /// Guards against the same at a restart: nobody is left waiting for SIGKILL.
 #[test]
 fn an_answer_that_does_not_end_does_not_hold_up_a_restart() {
-    let backend = Fake::start(|_| Reaction::Answer(ENDLESS.to_owned()));
+    let backend = FakeServer::start(|_| Reaction::Answer(ENDLESS.to_owned()));
     let mut scene = gateway(&[&backend], 64);
     let mut client = scene.gateway.client();
     client.send(&request("orden-nueva", 7, 5000));
-    assert_eq!(client.line(), "HTTP/1.1 200 OK");
+    assert_eq!(client.read_line(), "HTTP/1.1 200 OK");
     let told = Instant::now();
     scene.gateway.terminate();
     assert!(breaks_off(&mut client), "passed on as if whole");
-    assert!(scene.gateway.wait().success());
+    assert!(scene.gateway.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
 }
--- a/node/tests/gateway.rs
+++ b/node/tests/gateway.rs
@@ -7,12 +7,12 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn scene(backends: &[&Fake]) -> Scene {
-    scene_with(Start::default(), serving(backends), counter())
+fn scene(backends: &[&FakeServer]) -> Fixture {
+    scene_with(GatewayOptions::default(), serving_entries(backends), fake_counter())
 }
 
-fn scene_with(start: Start, entries: Vec<String>, counter: Fake) -> Scene {
-    Scene::new(&start, entries, counter)
+fn scene_with(start: GatewayOptions, entries: Vec<String>, counter: FakeServer) -> Fixture {
+    Fixture::new(&start, entries, counter)
 }
 
 const FULL: &str = "x-unprocessed: 1\r\n";
@@ -20,14 +20,14 @@
 /// Guards against a request or an answer that is altered on its way.
 #[test]
 fn a_request_goes_on_unchanged_and_so_does_its_answer() {
-    let backend = Fake::start(|_| ok("served!"));
+    let backend = FakeServer::start(|_| ok("served!"));
     let scene = scene(&[&backend]);
     let mut client = scene.gateway.client();
     let text = request("modificar", 7, 1000).replace(" HTTP/1.1", "?a=1&b=%20 HTTP/1.1");
     let answer = client.ask(&text);
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"served!"[..]));
-    let seen = backend.next();
-    assert_eq!(seen.line, "POST /modificar/0000000000000007?a=1&b=%20 HTTP/1.1");
+    let seen = backend.next_request();
+    assert_eq!(seen.start_line, "POST /modificar/0000000000000007?a=1&b=%20 HTTP/1.1");
     assert_eq!(seen.body, b"{42}");
     assert_eq!(seen.header("idempotency-key"), Some("5c0f6e1a2b3d4c59"));
     assert!(
@@ -42,14 +42,14 @@
 fn the_largest_bodies_and_absolute_targets_go_through() {
     let large = "y".repeat(64 * 1024);
     let back = large.clone();
-    let backend = Fake::start(move |_| ok(&back));
+    let backend = FakeServer::start(move |_| ok(&back));
     let scene = scene(&[&backend]);
     let text = request("orden-nueva", 7, 2000).replace("POST /", "POST http://backend.local/");
     let text =
         text.replace("content-length: 4\r\n\r\n{42}", &format!("content-length: 65536\r\n\r\n{large}"));
     let answer = scene.gateway.client().ask(&text);
     assert_eq!((answer.status(), answer.body.len()), (200, large.len()));
-    let seen = backend.next();
+    let seen = backend.next_request();
     assert_eq!((seen.path(), seen.body.len()), ("/orden-nueva/0000000000000007", large.len()));
 }
 
@@ -59,23 +59,24 @@
 fn an_ejected_backend_is_probed_over_a_new_connection() {
     let all = std::sync::Barrier::new(3);
     let count = AtomicUsize::new(0);
-    let backend = Fake::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
+    let backend = FakeServer::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
         0..3 => {
             all.wait();
             ok("x")
         }
-        3 | 4 => Reaction::Break,
+        3 | 4 => Reaction::Close,
         _ => ok("x"),
     });
     let scene = scene(&[&backend]);
     let mut clients = [(); 3].map(|()| scene.gateway.client());
     // Three at once need three connections, and leave all idle.
     clients.iter_mut().for_each(|c| c.send(&request("consulta", 7, 2000)));
-    clients.iter_mut().for_each(|c| assert_eq!(c.answer().expect("an answer").status(), 200));
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_answer().expect("an answer").status(), 200));
     // Two break in a row, which ejects the backend.
     clients[..2].iter_mut().for_each(|c| drop(c.ask(&request("consulta", 7, 2000))));
-    let probe = std::iter::from_fn(|| Some(backend.next())).find(|s| s.path() == "/load").expect("a probe");
-    assert!(probe.conn >= 3, "probed over connection {}", probe.conn);
+    let probe =
+        std::iter::from_fn(|| Some(backend.next_request())).find(|s| s.path() == "/load").expect("a probe");
+    assert!(probe.connection >= 3, "probed over connection {}", probe.connection);
 }
 
 /// Guards against an unsafe request that takes effect twice: its connection broke after it was
@@ -83,16 +84,16 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_fails() {
     let reactions: [fn() -> Reaction; 3] = [
-        || Reaction::Break,
+        || Reaction::Close,
         || Reaction::Answer(answer("500 Internal Server Error", "", "")),
         // Without the field that says so, a 503 is no proof that it did not run.
         || Reaction::Answer(answer("503 Service Unavailable", "", "")),
     ];
     for react in reactions {
-        let (a, b) = (Fake::start(move |_| react()), Fake::start(move |_| react()));
+        let (a, b) = (FakeServer::start(move |_| react()), FakeServer::start(move |_| react()));
         let scene = scene(&[&a, &b]);
         assert_eq!(scene.gateway.client().ask(&request("orden-nueva", 7, 2000)).status(), 504);
-        let tries = a.seen.try_iter().chain(b.seen.try_iter()).count();
+        let tries = a.requests.try_iter().chain(b.requests.try_iter()).count();
         assert_eq!(tries, 1);
     }
 }
@@ -101,18 +102,18 @@
 /// that says so, lets even an unsafe one go to another backend.
 #[test]
 fn an_unsafe_request_that_cannot_have_run_goes_elsewhere() {
-    let good = Fake::start(|_| ok("done"));
-    let full = Fake::start(|_| Reaction::Answer(answer("503 Service Unavailable", FULL, "")));
-    let late = Fake::start(|_| Reaction::Answer(answer("504 Gateway Timeout", FULL, "")));
-    for other in [free_port(), full.address, late.address] {
+    let good = FakeServer::start(|_| ok("done"));
+    let full = FakeServer::start(|_| Reaction::Answer(answer("503 Service Unavailable", FULL, "")));
+    let late = FakeServer::start(|_| Reaction::Answer(answer("504 Gateway Timeout", FULL, "")));
+    for other in [unused_address(), full.address, late.address] {
         let entries = vec![entry("s-0", other, "SERVING"), entry("s-1", good.address, "SERVING")];
-        let scene = scene_with(Start::default(), entries, counter());
+        let scene = scene_with(GatewayOptions::default(), entries, fake_counter());
         let mut client = scene.gateway.client();
         for _ in 0..12 {
             assert_eq!(client.ask(&request("orden-nueva", 7, 2000)).status(), 200);
         }
     }
-    assert!(full.seen.try_iter().count() > 0 && late.seen.try_iter().count() > 0);
+    assert!(full.requests.try_iter().count() > 0 && late.requests.try_iter().count() > 0);
 }
 
 /// Guards against a safe request that is lost with the connection it went over: where second copies are
@@ -121,32 +122,32 @@
 fn a_late_first_attempt_gets_its_second_copy_and_the_first_is_called_off() {
     let met = Arc::new(AtomicUsize::new(0));
     let start = |met: Arc<AtomicUsize>| {
-        Fake::start(move |_| match met.fetch_add(1, Ordering::SeqCst) {
+        FakeServer::start(move |_| match met.fetch_add(1, Ordering::SeqCst) {
             0 => Reaction::Silence,
             _ => ok("copy"),
         })
     };
     let backends = [start(met.clone()), start(met)];
     let changes = &[("\"second_copies\":false", "\"second_copies\":true")];
-    let start = Start { changes, ..Start::default() };
-    let scene = scene_with(start, serving(&[&backends[0], &backends[1]]), counter());
+    let start = GatewayOptions { changes, ..GatewayOptions::default() };
+    let scene = scene_with(start, serving_entries(&[&backends[0], &backends[1]]), fake_counter());
     let answer = scene.gateway.client().ask(&request("consulta", 7, 3000));
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"copy"[..]));
-    let seen = backends.each_ref().map(Fake::next);
+    let seen = backends.each_ref().map(FakeServer::next_request);
     assert_eq!(seen[0].header("x-correlation-id"), seen[1].header("x-correlation-id"));
-    let silent = usize::from(seen[1].at < seen[0].at);
-    backends[silent].ended.recv_timeout(LONG).expect("the silent attempt is given up");
+    let silent = usize::from(seen[1].received_at < seen[0].received_at);
+    backends[silent].closed_by_peer.recv_timeout(TEST_TIMEOUT).expect("the silent attempt is given up");
 }
 
 /// Guards against quotas kept by guesses: where units are settled afterwards, those that the answer bills reach
 /// the counter.
 #[test]
 fn the_units_that_an_answer_bills_are_what_the_counter_is_told() {
-    let billed = |_: &Seen| Reaction::Answer(answer("200 OK", "billed-units: 4\r\n", "x"));
-    let backend = Fake::start(billed);
+    let billed = |_: &HttpMessage| Reaction::Answer(answer("200 OK", "billed-units: 4\r\n", "x"));
+    let backend = FakeServer::start(billed);
     let (told, total) = (Arc::new(Mutex::new(0.0)), Arc::new(std::sync::Condvar::new()));
     let (sum, changed) = (told.clone(), total.clone());
-    let counter = Fake::start(move |seen| {
+    let counter = FakeServer::start(move |seen| {
         let delta = seen.path().split("delta=").nth(1).and_then(|d| d.split('&').next()?.parse::<f64>().ok());
         let mut sum = sum.lock().expect("unpoisoned");
         *sum += delta.expect("an amount");
@@ -154,14 +155,14 @@
         ok(&sum.to_string())
     });
     let changes = &[("\"units_top\":1", "\"units_top\":6,\"cost_after\":true")];
-    let start = Start { rate: 10.0, burst: 100.0, changes, ..Start::default() };
-    let scene = scene_with(start, serving(&[&backend]), counter);
+    let start = GatewayOptions { rate: 10.0, burst: 100.0, changes, ..GatewayOptions::default() };
+    let scene = scene_with(start, serving_entries(&[&backend]), counter);
     let mut client = scene.gateway.client();
     for _ in 0..5 {
         assert_eq!(client.ask(&request("consulta", 7, 2000)).status(), 200);
     }
     let sum = told.lock().expect("unpoisoned");
-    let (sum, _) = total.wait_timeout_while(sum, LONG, |sum| *sum != 20.0).expect("unpoisoned");
+    let (sum, _) = total.wait_timeout_while(sum, TEST_TIMEOUT, |sum| *sum != 20.0).expect("unpoisoned");
     assert_eq!(*sum, 20.0, "five requests of a guessed unit, billed four each");
 }
 
@@ -169,32 +170,32 @@
 /// nobody waits for them: giving one up means closing its connection.
 #[test]
 fn a_silent_backend_means_a_failure_in_time_and_a_closed_connection() {
-    let backend = Fake::start(|_| Reaction::Silence);
+    let backend = FakeServer::start(|_| Reaction::Silence);
     let scene = scene(&[&backend]);
     let began = Instant::now();
     assert_eq!(scene.gateway.client().ask(&request("orden-nueva", 7, 400)).status(), 504);
     let took = began.elapsed();
     assert!(took >= Duration::from_millis(350) && took < Duration::from_millis(900), "{took:?}");
-    backend.ended.recv_timeout(LONG).expect("the attempt's connection is closed");
+    backend.closed_by_peer.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
 }
 
 /// Guards against work and memory kept for clients that have left.
 #[test]
 fn a_client_that_leaves_takes_its_attempt_with_it() {
-    let backend = Fake::start(|_| Reaction::Silence);
+    let backend = FakeServer::start(|_| Reaction::Silence);
     let scene = scene(&[&backend]);
     let mut client = scene.gateway.client();
     client.send(&request("consulta", 7, 3000));
-    let sent = backend.next().at;
+    let sent = backend.next_request().received_at;
     drop(client);
-    backend.ended.recv_timeout(LONG).expect("the attempt's connection is closed");
+    backend.closed_by_peer.recv_timeout(TEST_TIMEOUT).expect("the attempt's connection is closed");
     assert!(sent.elapsed() < Duration::from_millis(2500), "only the deadline ended it");
 }
 
 /// Guards against malformed input that reaches the module or the backends, or stops the program.
 #[test]
 fn malformed_requests_get_a_4xx_and_go_nowhere() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let scene = scene(&[&backend]);
     let (get, keyed, post) =
         (request("consulta", 7, 900), request("modificar", 7, 900), request("orden-nueva", 7, 900));
@@ -234,62 +235,62 @@
         assert!(
             (400..500).contains(&answer.status()) && answer.status() != 429,
             "{} for {head}",
-            answer.line
+            answer.start_line
         );
     }
     assert_eq!(scene.gateway.client().ask(&get).status(), 200);
-    assert_eq!(backend.seen.try_iter().count(), 1);
+    assert_eq!(backend.requests.try_iter().count(), 1);
 }
 
 /// Guards against new work for a backend that drains or is gone, by a change, by a list that leaves it
 /// out, and over a connection kept from before.
 #[test]
 fn a_backend_that_drains_or_is_gone_gets_nothing_new() {
-    let (stays, leaves) = (Fake::start(|_| ok("x")), Fake::start(|_| ok("x")));
+    let (stays, leaves) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
     for last in [Some("DRAINING"), Some("DELETED"), None] {
         let scene = scene(&[&stays, &leaves]);
         let mut client = scene.gateway.client();
         let mut tries = 0;
-        while leaves.seen.try_recv().is_err() {
+        while leaves.requests.try_recv().is_err() {
             assert_eq!(client.ask(&request("consulta", 7, 2000)).status(), 200);
             tries += 1;
             assert!(tries < 500, "the second backend is never used");
         }
-        leaves.seen.try_iter().for_each(drop);
+        leaves.requests.try_iter().for_each(drop);
         let mut entries = vec![entry("s-0", stays.address, "SERVING")];
         entries.extend(last.map(|status| entry("s-1", leaves.address, status)));
         scene.discovery.set(entries);
         if last.is_none() {
             // What no change tells, the whole list that follows a broken watch does.
-            scene.discovery.settled();
-            scene.discovery.babble();
+            scene.discovery.wait_until_list_received();
+            scene.discovery.send_invalid_list_once();
         }
-        leaves.ended.recv_timeout(LONG).expect("the idle connection is closed");
+        leaves.closed_by_peer.recv_timeout(TEST_TIMEOUT).expect("the idle connection is closed");
         for _ in 0..40 {
             assert_eq!(client.ask(&request("consulta", 7, 2000)).status(), 200);
         }
-        assert_eq!(leaves.seen.try_iter().count(), 0);
+        assert_eq!(leaves.requests.try_iter().count(), 0);
     }
 }
 
 /// Guards against a watch that is let lapse, and against rubbish taken for an empty list.
 #[test]
 fn watches_follow_one_another_and_rubbish_changes_nothing() {
-    let backend = Fake::start(|_| ok("x"));
-    let discovery = Discovery::start(serving(&[&backend]));
-    let counter = counter();
-    let gateway = Gateway::start(&Start::default(), discovery.fake.address, counter.address);
-    let mut calls = vec![discovery.fake.next(), discovery.fake.next()];
+    let backend = FakeServer::start(|_| ok("x"));
+    let discovery = FakeDiscovery::start(serving_entries(&[&backend]));
+    let counter = fake_counter();
+    let gateway = Gateway::start(&GatewayOptions::default(), discovery.server.address, counter.address);
+    let mut calls = vec![discovery.server.next_request(), discovery.server.next_request()];
     let told = Instant::now();
-    discovery.set(serving(&[&backend]));
-    calls.push(discovery.fake.next());
+    discovery.set(serving_entries(&[&backend]));
+    calls.push(discovery.server.next_request());
     assert!(told.elapsed() < Duration::from_secs(2), "the watch is not out when news comes");
     let paths: Vec<_> =
         calls.iter().map(|c| c.path().split('&').next().expect("a path").to_owned()).collect();
     assert_eq!(paths, ["/v1/servers", "/v1/servers?index=1", "/v1/servers?index=2"].map(str::to_owned));
-    discovery.settled();
-    discovery.babble();
-    while discovery.fake.next().path() != "/v1/servers" {}
+    discovery.wait_until_list_received();
+    discovery.send_invalid_list_once();
+    while discovery.server.next_request().path() != "/v1/servers" {}
     assert_eq!(gateway.client().ask(&request("consulta", 7, 2000)).status(), 200);
 }
 
@@ -297,18 +298,18 @@
 /// changed since the list in hand, also the one it was started with.
 #[test]
 fn a_gateway_that_discovery_turns_away_goes_on_from_the_list_in_hand() {
-    let backend = Fake::start(|_| ok("x"));
-    let news = list(8, false, &serving(&[&backend]));
+    let backend = FakeServer::start(|_| ok("x"));
+    let news = list(8, false, &serving_entries(&[&backend]));
     let calls = AtomicUsize::new(0);
-    let discovery = Fake::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
+    let discovery = FakeServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 | 1 | 3 => Reaction::Answer(answer("503 Service Unavailable", "", "")),
         2 => ok(&news),
         _ => Reaction::Silence,
     });
-    let gone = entry("s-gone", free_port(), "SERVING");
-    let start = Start { known: Some(list(7, true, &[gone])), ..Start::default() };
-    let gateway = Gateway::start(&start, discovery.address, free_port());
-    let asked: Vec<_> = (0..5).map(|_| discovery.next().path().to_owned()).collect();
+    let gone = entry("s-gone", unused_address(), "SERVING");
+    let start = GatewayOptions { known: Some(list(7, true, &[gone])), ..GatewayOptions::default() };
+    let gateway = Gateway::start(&start, discovery.address, unused_address());
+    let asked: Vec<_> = (0..5).map(|_| discovery.next_request().path().to_owned()).collect();
     let asked: Vec<_> = asked.iter().map(|path| path.split("&wait=").next().expect("a path")).collect();
     assert_eq!(asked, [7, 7, 7, 8, 8].map(|index| format!("/v1/servers?index={index}")));
     assert_eq!(gateway.client().ask(&request("consulta", 7, 2000)).status(), 200);
@@ -317,17 +318,17 @@
 /// Guards against readiness before there is a list, and against one that waits for the counter.
 #[test]
 fn a_gateway_is_ready_once_it_has_a_list() {
-    let backend = Fake::start(|_| ok("x"));
-    let silent = Fake::start(|_| Reaction::Silence);
-    let start = Start::default();
-    let mut gateway = Gateway::launch(&start, silent.address, free_port());
-    assert_eq!(silent.next().path(), "/v1/servers");
-    let until = Instant::now() + LONG;
+    let backend = FakeServer::start(|_| ok("x"));
+    let silent = FakeServer::start(|_| Reaction::Silence);
+    let start = GatewayOptions::default();
+    let mut gateway = Gateway::launch(&start, silent.address, unused_address());
+    assert_eq!(silent.next_request().path(), "/v1/servers");
+    let until = Instant::now() + TEST_TIMEOUT;
     while gateway.health() != Some(503) {
         assert!(Instant::now() < until && gateway.health() != Some(200));
     }
-    let known = Some(list(3, true, &serving(&[&backend])));
-    gateway = Gateway::start(&Start { known, ..start }, silent.address, free_port());
+    let known = Some(list(3, true, &serving_entries(&[&backend])));
+    gateway = Gateway::start(&GatewayOptions { known, ..start }, silent.address, unused_address());
     assert_eq!(gateway.client().ask(&request("consulta", 7, 2000)).status(), 200);
 }
 
@@ -335,17 +336,17 @@
 /// have one beginning.
 #[test]
 fn gateways_name_a_customers_window_alike() {
-    let backend = Fake::start(|_| ok("x"));
-    let (discovery, counter) = (Discovery::start(serving(&[&backend])), counter());
+    let backend = FakeServer::start(|_| ok("x"));
+    let (discovery, counter) = (FakeDiscovery::start(serving_entries(&[&backend])), fake_counter());
     // A window of 20 s: it rolls over at most once between these few calls, which gives each name anew.
-    let start = |me| Start { me, rate: 0.1, burst: 2.0, ..Start::default() };
-    let gateways = [0, 1].map(|me| Gateway::start(&start(me), discovery.fake.address, counter.address));
-    let name = |seen: Seen| seen.path().split('?').next().expect("a name").to_owned();
+    let start = |me| GatewayOptions { own_index: me, rate: 0.1, burst: 2.0, ..GatewayOptions::default() };
+    let gateways = [0, 1].map(|me| Gateway::start(&start(me), discovery.server.address, counter.address));
+    let name = |seen: HttpMessage| seen.path().split('?').next().expect("a name").to_owned();
     let mut names: [Vec<String>; 2] = Default::default();
     for _ in 0..3 {
         for (gateway, names) in gateways.iter().zip(&mut names) {
             gateway.client().ask(&request("consulta", 7, 2000));
-            names.push(name(counter.next()));
+            names.push(name(counter.next_request()));
         }
     }
     assert!(names[0].iter().any(|n| names[1].contains(n)), "{names:?}");
@@ -354,29 +355,32 @@
 /// Guards against quotas that do not bind, and against refusals that do not say when to come back.
 #[test]
 fn a_customer_over_its_quota_is_refused_at_once_with_advice() {
-    let backend = Fake::start(|_| ok("x"));
-    let scene =
-        scene_with(Start { rate: 0.2, burst: 4.0, ..Start::default() }, serving(&[&backend]), counter());
+    let backend = FakeServer::start(|_| ok("x"));
+    let scene = scene_with(
+        GatewayOptions { rate: 0.2, burst: 4.0, ..GatewayOptions::default() },
+        serving_entries(&[&backend]),
+        fake_counter(),
+    );
     let mut client = scene.gateway.client();
-    let answers: Vec<Seen> = (0..20).map(|_| client.ask(&request("consulta", 7, 2000))).collect();
-    let refused: Vec<&Seen> = answers.iter().filter(|a| a.status() == 429).collect();
+    let answers: Vec<HttpMessage> = (0..20).map(|_| client.ask(&request("consulta", 7, 2000))).collect();
+    let refused: Vec<&HttpMessage> = answers.iter().filter(|a| a.status() == 429).collect();
     let served = answers.iter().filter(|a| a.status() == 200).count();
     assert!((1..=8).contains(&served), "{served} served of a burst of 4");
     assert_eq!(served + refused.len(), 20);
     let advice = refused.last().and_then(|a| a.header("retry-after")).and_then(|v| v.parse::<f64>().ok());
     assert!(advice.is_some_and(|s| s > 0.0 && s <= 2.0), "{advice:?}");
-    assert_eq!(backend.seen.try_iter().count(), served);
-    assert!(scene.counter.seen.try_iter().count() > 0);
+    assert_eq!(backend.requests.try_iter().count(), served);
+    assert!(scene.counter.requests.try_iter().count() > 0);
 }
 
 /// Guards against requests that wait on a silent counter, and against a late answer taken for that of
 /// the next call: a connection is not used again before its answer has come.
 #[test]
 fn a_silent_counter_holds_nothing_up_and_its_connections_are_not_reused() {
-    let backend = Fake::start(|_| ok("x"));
-    let silent = Fake::start(|_| Reaction::Silence);
-    let start = Start { rate: 0.2, burst: 2.0, ..Start::default() };
-    let scene = scene_with(start, serving(&[&backend]), silent);
+    let backend = FakeServer::start(|_| ok("x"));
+    let silent = FakeServer::start(|_| Reaction::Silence);
+    let start = GatewayOptions { rate: 0.2, burst: 2.0, ..GatewayOptions::default() };
+    let scene = scene_with(start, serving_entries(&[&backend]), silent);
     let mut client = scene.gateway.client();
     for customer in 0..12 {
         for _ in 0..2 {
@@ -385,7 +389,7 @@
             assert!(began.elapsed() < Duration::from_millis(1500), "{:?}", began.elapsed());
         }
     }
-    let mut conns: Vec<usize> = scene.counter.seen.try_iter().map(|s| s.conn).collect();
+    let mut conns: Vec<usize> = scene.counter.requests.try_iter().map(|s| s.connection).collect();
     let calls = conns.len();
     conns.sort_unstable();
     conns.dedup();
@@ -398,7 +402,7 @@
 fn connections_are_reused_unless_the_backend_has_ended_them() {
     let closing = Arc::new(AtomicBool::new(false));
     let close = closing.clone();
-    let backend = Fake::start(move |_| match close.load(Ordering::SeqCst) {
+    let backend = FakeServer::start(move |_| match close.load(Ordering::SeqCst) {
         true => Reaction::AnswerAndClose(answer("200 OK", "", "x")),
         false => ok("x"),
     });
@@ -406,14 +410,14 @@
     let mut client = scene.gateway.client();
     for _ in 0..10 {
         assert_eq!(client.ask(&request("orden-nueva", 7, 2000)).status(), 200);
-        std::thread::sleep(SETTLED);
+        std::thread::sleep(CONNECTION_REUSE_DELAY);
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 1);
     closing.store(true, Ordering::SeqCst);
     for _ in 0..10 {
         assert_eq!(client.ask(&request("orden-nueva", 7, 2000)).status(), 200);
         // A request written before the gateway has seen the end of the stream may end as a reset.
-        backend.ended.recv_timeout(LONG).expect("the gateway ends the connection too");
+        backend.closed_by_peer.recv_timeout(TEST_TIMEOUT).expect("the gateway ends the connection too");
     }
 }
 
@@ -424,7 +428,7 @@
     let hold = Arc::new((Mutex::new(true), std::sync::Condvar::new()));
     let (held, begun) = (hold.clone(), Arc::new(AtomicUsize::new(0)));
     let count = begun.clone();
-    let backend = Fake::start(move |_| {
+    let backend = FakeServer::start(move |_| {
         count.fetch_add(1, Ordering::SeqCst);
         let waiting = held.0.lock().expect("unpoisoned");
         drop(held.1.wait_while(waiting, |w| *w).expect("unpoisoned"));
@@ -449,11 +453,11 @@
     *hold.0.lock().expect("unpoisoned") = false;
     hold.1.notify_all();
     for client in [&mut first, &mut second, &mut idle] {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-        assert!(client.at_end());
+        assert!(client.at_eof());
     }
-    assert!(scene.gateway.wait().success());
+    assert!(scene.gateway.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
 }
 
@@ -461,14 +465,14 @@
 /// has its failure in time.
 #[test]
 fn a_planned_restart_does_not_wait_for_the_longest_work() {
-    let backend = Fake::start(|_| Reaction::Silence);
+    let backend = FakeServer::start(|_| Reaction::Silence);
     let mut scene = scene(&[&backend]);
     let mut client = scene.gateway.client();
     client.send(&request("orden-nueva", 7, 5000));
-    backend.next();
+    backend.next_request();
     let told = Instant::now();
     scene.gateway.terminate();
-    assert_eq!(client.answer().expect("an answer").status(), 504);
-    assert!(scene.gateway.wait().success());
+    assert_eq!(client.read_answer().expect("an answer").status(), 504);
+    assert!(scene.gateway.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
 }
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -21,13 +21,17 @@
 const SLOW_CONNECT: (&str, &str) = ("\"connect_timeout_us\":250000", "\"connect_timeout_us\":5000000");
 const SLOW_COUNT: (&str, &str) = ("\"count_limit_us\":80000", "\"count_limit_us\":5000000");
 
-fn scene(entries: Vec<String>, counter: Fake, changes: Changes) -> Scene {
-    Scene::new(&Start { rate: 0.2, burst: 2.0, changes, ..Start::default() }, entries, counter)
+fn scene(entries: Vec<String>, counter: FakeServer, changes: Changes) -> Fixture {
+    Fixture::new(
+        &GatewayOptions { rate: 0.2, burst: 2.0, changes, ..GatewayOptions::default() },
+        entries,
+        counter,
+    )
 }
 
 /// A client whose request waits somewhere.
 struct Waiting {
-    scene: Scene,
+    scene: Fixture,
     client: Option<Client>,
     /// What the client calls it.
     id: String,
@@ -35,7 +39,7 @@
     stay: Vec<Client>,
     called_off: Box<dyn Fn(&Gateway) -> bool>,
     /// What it waits for comes; the backends that it might go to from then on.
-    release: Box<dyn FnOnce() -> Vec<Fake>>,
+    release: Box<dyn FnOnce() -> Vec<FakeServer>>,
 }
 
 /// A request to be told apart from all others.
@@ -56,7 +60,7 @@
 }
 
 fn in_progress(gateway: &Gateway) -> u64 {
-    gateway.figures()["in_progress"].as_u64().expect("a number")
+    gateway.metrics()["in_progress"].as_u64().expect("a number")
 }
 
 fn in_work(gateway: &Gateway) {
@@ -68,12 +72,12 @@
 }
 
 /// A peer that holds what it is asked until it is told to go on, and all answers from then on.
-fn holding(then: impl Fn(&Seen) -> Reaction + Send + Sync + 'static) -> (Fake, Sender<()>) {
+fn holding(then: impl Fn(&HttpMessage) -> Reaction + Send + Sync + 'static) -> (FakeServer, Sender<()>) {
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
-    let fake = Fake::start(move |seen| {
+    let fake = FakeServer::start(move |seen| {
         // An error: there is no one left to tell.
-        let _ = wait.lock().expect("unpoisoned").recv_timeout(LONG);
+        let _ = wait.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
         then(seen)
     });
     (fake, go)
@@ -86,14 +90,14 @@
 /// At a backend that holds it and then turns it away: a further attempt could go to another one.
 fn at_a_backend() -> Waiting {
     let (first, go) = holding(|_| turned_away());
-    let scene = scene(vec![entry("s-0", first.address, "SERVING")], counter(), &[]);
+    let scene = scene(vec![entry("s-0", first.address, "SERVING")], fake_counter(), &[]);
     let (mut client, (id, text)) = (scene.gateway.client(), named("orden-nueva"));
     client.send(&text);
-    assert_eq!(first.next().header("x-correlation-id"), Some(&*id));
-    let second = Fake::start(|_| ok("x"));
+    assert_eq!(first.next_request().header("x-correlation-id"), Some(&*id));
+    let second = FakeServer::start(|_| ok("x"));
     let both = vec![entry("s-0", first.address, "SERVING"), entry("s-1", second.address, "SERVING")];
     scene.discovery.set(both);
-    scene.discovery.settled();
+    scene.discovery.wait_until_list_received();
     let release = Box::new(move || {
         drop(go);
         vec![first, second]
@@ -106,25 +110,25 @@
 
 /// For a connection that does not come up: the only backend's, or that of a further attempt after the first.
 fn for_a_connection_after(first: Option<First>) -> Waiting {
-    let late = Mute::start();
+    let late = FullBacklogListener::start();
     let (class, ends) = first.unwrap_or(("orden-nueva", turned_away));
     let (busy, go) = holding(move |_| ends());
     let begin = if first.is_some() { busy.address } else { late.address };
-    let scene = scene(vec![entry("s-0", begin, "SERVING")], counter(), &[SLOW_CONNECT]);
+    let scene = scene(vec![entry("s-0", begin, "SERVING")], fake_counter(), &[SLOW_CONNECT]);
     let (mut client, (id, text)) = (scene.gateway.client(), named(class));
     client.send(&text);
     if first.is_some() {
-        busy.next();
+        busy.next_request();
         let both = vec![entry("s-0", busy.address, "SERVING"), entry("s-1", late.address, "SERVING")];
         scene.discovery.set(both);
-        scene.discovery.settled();
+        scene.discovery.wait_until_list_received();
         drop(go);
         // The next attempt is out by then, and not at the first backend.
         std::thread::sleep(Duration::from_millis(30));
-        assert_eq!(busy.seen.try_iter().count(), 0, "a second attempt at the first backend");
+        assert_eq!(busy.requests.try_iter().count(), 0, "a second attempt at the first backend");
     }
     in_work(&scene.gateway);
-    let release = Box::new(|| vec![late.open(|_| ok("x")), busy]);
+    let release = Box::new(|| vec![late.start_accepting(|_| ok("x")), busy]);
     Waiting { scene, client: Some(client), id, stay: vec![], called_off: Box::new(none_in_work), release }
 }
 
@@ -137,17 +141,17 @@
 }
 
 fn for_a_further_attempt_failed() -> Waiting {
-    for_a_connection_after(Some(("consulta", || Reaction::Break)))
+    for_a_connection_after(Some(("consulta", || Reaction::Close)))
 }
 
 /// For a total: the part of its customer is spent by a first one, and the counter does not answer. With `behind`,
 /// it waits for the module to make a further call, as one for another request is out.
 fn for_a_total_behind(behind: bool) -> Waiting {
     let (counter, go) = holding(|_| ok("0"));
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let scene = scene(vec![entry("s-0", backend.address, "SERVING")], counter, &[SLOW_COUNT]);
     assert_eq!(scene.gateway.client().ask(&request("consulta", 7, WAIT_MS)).status(), 200);
-    backend.next();
+    backend.next_request();
     let mut stay = vec![];
     if behind {
         let mut other = scene.gateway.client();
@@ -159,7 +163,7 @@
     client.send(&text);
     let others = stay.len() as u64;
     until("it is taken", || in_progress(&scene.gateway) == others + 1);
-    scene.counter.next();
+    scene.counter.next_request();
     let called_off = Box::new(move |gateway: &Gateway| in_progress(gateway) <= others);
     let release = Box::new(|| {
         drop(go);
@@ -183,18 +187,20 @@
         let answers = Arc::new(AtomicBool::new(false));
         let backend = || {
             let answers = answers.clone();
-            Fake::start(move |_| if answers.load(Ordering::SeqCst) { ok("x") } else { Reaction::Silence })
+            FakeServer::start(
+                move |_| if answers.load(Ordering::SeqCst) { ok("x") } else { Reaction::Silence },
+            )
         };
         let both = [backend(), backend()];
         let entries =
             vec![entry("s-0", both[0].address, "SERVING"), entry("s-1", both[1].address, "SERVING")];
-        let scene = scene(entries, counter(), copies);
+        let scene = scene(entries, fake_counter(), copies);
         let (mut client, (id, text)) = (scene.gateway.client(), named("consulta"));
         let began = Instant::now();
         client.send(&text);
         in_work(&scene.gateway);
         std::thread::sleep((COPY - BEFORE_COPY).saturating_sub(began.elapsed()));
-        let seen = both.iter().map(|b| b.seen.try_iter().count()).sum::<usize>();
+        let seen = both.iter().map(|b| b.requests.try_iter().count()).sum::<usize>();
         // This machine was busy elsewhere.
         if began.elapsed() > COPY - BEFORE_COPY / 2 || seen != 1 {
             continue;
@@ -217,11 +223,11 @@
 
 /// For its body: so much of a long one has come, and the backend's connection does not come up.
 fn for_its_body_of(sent: usize) -> Waiting {
-    let late = Mute::start();
+    let late = FullBacklogListener::start();
     // No counter, whose connections come and go.
     let changes: Changes = &[SLOW_CONNECT, ("\"shared_counter\":true", "\"shared_counter\":false")];
-    let scene = scene(vec![entry("s-0", late.address, "SERVING")], counter(), changes);
-    let held = |gateway: &Gateway| gateway.descriptors();
+    let scene = scene(vec![entry("s-0", late.address, "SERVING")], fake_counter(), changes);
+    let held = |gateway: &Gateway| gateway.open_descriptors();
     let same = || held(&scene.gateway) == (0..20).map(|_| held(&scene.gateway)).max().unwrap_or_default();
     until("earlier connections are closed", || {
         std::thread::sleep(Duration::from_millis(20));
@@ -237,7 +243,7 @@
         until("it begins", || held(&scene.gateway) > before);
     }
     let called_off = Box::new(move |gateway: &Gateway| held(gateway) <= before);
-    let release = Box::new(|| vec![late.open(|_| ok("x"))]);
+    let release = Box::new(|| vec![late.start_accepting(|_| ok("x"))]);
     Waiting { scene, client: Some(client), id, stay: vec![], called_off, release }
 }
 
@@ -277,19 +283,19 @@
         until(what, || scene.gateway.client().ask(&request("consulta", 8, WAIT_MS)).status() == 200);
     } else {
         drop(stay);
-        assert!(scene.gateway.wait().success(), "{what}");
+        assert!(scene.gateway.wait_for_exit().success(), "{what}");
     }
-    let seen: Vec<_> = backends.iter().flat_map(|b| b.seen.try_iter()).collect();
+    let seen: Vec<_> = backends.iter().flat_map(|b| b.requests.try_iter()).collect();
     let its = seen.iter().filter(|s| s.header("x-correlation-id") == Some(&id)).count();
     assert_eq!(its, 0, "{what}: sent on");
 }
 
 /// The machine may have been busy elsewhere: of three rounds the fastest counts.
-fn called_off_soon(place: &str, how: Leave, waiting: impl Fn() -> Waiting) {
+fn called_off_soon(place: &str, how: Disconnect, waiting: impl Fn() -> Waiting) {
     let (mut took, what) = (Duration::MAX, format!("{place}, {how:?}"));
     for _ in 0..3 {
         let mut waiting = waiting();
-        waiting.client.take().expect("a client").leave(how);
+        waiting.client.take().expect("a client").disconnect(how);
         took = took.min(until(&what, || (waiting.called_off)(&waiting.scene.gateway)));
         nothing_is_sent(&what, waiting);
         if took < SOON {
@@ -301,10 +307,10 @@
 }
 
 /// The client leaves and what its request waits for comes while the gateway stands still: it finds both at once.
-fn both_at_once(place: &str, how: Leave, waiting: impl Fn() -> Waiting) {
+fn both_at_once(place: &str, how: Disconnect, waiting: impl Fn() -> Waiting) {
     let (mut waiting, what) = (waiting(), format!("{place}, {how:?}, both at once"));
     waiting.scene.gateway.signal("-STOP");
-    waiting.client.take().expect("a client").leave(how);
+    waiting.client.take().expect("a client").disconnect(how);
     let backends = (std::mem::replace(&mut waiting.release, Box::new(Vec::new)))();
     std::thread::sleep(Duration::from_millis(20));
     waiting.scene.gateway.signal("-CONT");
@@ -317,7 +323,7 @@
     ($($place:ident: $test:ident)*) => {
         $(#[test]
         fn $test() {
-            for how in LEAVES {
+            for how in DISCONNECTS {
                 called_off_soon(stringify!($place), how, $place);
                 both_at_once(stringify!($place), how, $place);
             }
@@ -346,7 +352,7 @@
 fn who_leaves_behind_more_than_the_sockets_hold() {
     for (name, place) in [("at_a_backend", at_a_backend as fn() -> Waiting), ("for_a_total", for_a_total)] {
         for most in [8 << 20, 64 << 20] {
-            called_off_soon(name, Leave::CloseFull(most), place);
+            called_off_soon(name, Disconnect::CloseAfterFilling(most), place);
         }
     }
 }
@@ -355,14 +361,14 @@
 #[test]
 fn who_stays_is_served() {
     let (backend, go) = holding(|_| ok("late"));
-    let scene = scene(vec![entry("s-0", backend.address, "SERVING")], counter(), &[]);
+    let scene = scene(vec![entry("s-0", backend.address, "SERVING")], fake_counter(), &[]);
     let mut client = scene.gateway.client();
     client.send(&format!("{}{}", request("consulta", 7, WAIT_MS), request("consulta", 8, WAIT_MS)));
-    backend.next();
+    backend.next_request();
     std::thread::sleep(Duration::from_millis(250));
     drop(go);
     for _ in 0..2 {
-        assert_eq!(client.answer().expect("an answer").status(), 200);
+        assert_eq!(client.read_answer().expect("an answer").status(), 200);
     }
 }
 
@@ -370,7 +376,7 @@
 #[test]
 fn who_sends_two_hundred_requests_at_once_is_served() {
     let (backend, go) = holding(|seen| ok(seen.header("x-correlation-id").expect("an id")));
-    let scene = scene(vec![entry("s-0", backend.address, "SERVING")], counter(), &[]);
+    let scene = scene(vec![entry("s-0", backend.address, "SERVING")], fake_counter(), &[]);
     let mut client = scene.gateway.client();
     let (ids, texts): (Vec<_>, Vec<_>) = (0..200)
         .map(|n| named(if n % 2 == 0 { "consulta" } else { "orden-nueva" }))
@@ -378,11 +384,11 @@
         .map(|(n, (id, text))| (id, text.replace(&format!("{:016x}", 7), &format!("{:016x}", 100 + n))))
         .unzip();
     client.send(&texts.concat());
-    backend.next();
+    backend.next_request();
     std::thread::sleep(Duration::from_millis(50));
     drop(go);
     for id in ids {
-        let answer = client.answer().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, id.into_bytes()));
     }
 }
@@ -392,15 +398,15 @@
 #[test]
 fn who_stays_with_too_much_behind_its_request_gets_its_answer() {
     let (backend, go) = holding(|_| ok("late"));
-    let scene = scene(vec![entry("s-0", backend.address, "SERVING")], counter(), &[]);
+    let scene = scene(vec![entry("s-0", backend.address, "SERVING")], fake_counter(), &[]);
     let mut client = scene.gateway.client();
     client.send(&request("consulta", 7, WAIT_MS));
-    backend.next();
+    backend.next_request();
     client.send(&request("consulta", 8, WAIT_MS).repeat(4_000));
     std::thread::sleep(Duration::from_millis(50));
     drop(go);
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_answer().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(client.at_end());
-    assert_eq!(backend.seen.try_iter().count(), 0);
+    assert!(client.at_eof());
+    assert_eq!(backend.requests.try_iter().count(), 0);
 }
--- a/node/tests/lists.rs
+++ b/node/tests/lists.rs
@@ -14,8 +14,8 @@
 const GRACE: Duration = Duration::from_millis(1_000);
 const WITH_GRACE: &[(&str, &str)] = &[("\"drain_grace_us\":500000", "\"drain_grace_us\":1000000")];
 
-fn gateway(start: &Start, discovery: std::net::SocketAddr) -> (Gateway, Fake) {
-    let counter = counter();
+fn gateway(start: &GatewayOptions, discovery: std::net::SocketAddr) -> (Gateway, FakeServer) {
+    let counter = fake_counter();
     (Gateway::start(start, discovery, counter.address), counter)
 }
 
@@ -31,40 +31,40 @@
 /// so is what a later change takes back.
 #[test]
 fn an_older_list_does_not_bring_back_what_was_told_to_go() {
-    let (stays, leaves) = (Fake::start(|_| ok("x")), Fake::start(|_| ok("x")));
+    let (stays, leaves) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
     let entries = |status: &str, since| {
         vec![entry("s-0", stays.address, "SERVING"), entry_since("s-1", leaves.address, status, since)]
     };
     for moves in [false, true] {
         for last in ["DRAINING", "DELETED"] {
-            let discovery = Discovery::start(entries("SERVING", 0));
-            let (gateway, counter) = gateway(&Start::default(), discovery.fake.address);
-            discovery.settled();
+            let discovery = FakeDiscovery::start(entries("SERVING", 0));
+            let (gateway, counter) = gateway(&GatewayOptions::default(), discovery.server.address);
+            discovery.wait_until_list_received();
             (0..5).for_each(|_| discovery.set(entries("SERVING", 0)));
-            discovery.settled();
+            discovery.wait_until_list_received();
             discovery.set(entries(last, 0));
-            discovery.settled();
-            leaves.seen.try_iter().for_each(drop);
+            discovery.wait_until_list_received();
+            leaves.requests.try_iter().for_each(drop);
             // The same backends as before, all of them well.
-            let other = Discovery::start(entries("SERVING", 0));
+            let other = FakeDiscovery::start(entries("SERVING", 0));
             let now = if moves {
-                gateway.reload(other.fake.address, counter.address);
+                gateway.reload(other.server.address, counter.address);
                 &other
             } else {
                 discovery.replace(3, entries("SERVING", 0));
                 &discovery
             };
-            while now.fake.next().path() != "/v1/servers" {}
-            now.settled();
+            while now.server.next_request().path() != "/v1/servers" {}
+            now.wait_until_list_received();
             asked(&gateway, 60);
-            assert_eq!(leaves.seen.try_iter().count(), 0, "{last} was taken back, agent moves: {moves}");
+            assert_eq!(leaves.requests.try_iter().count(), 0, "{last} was taken back, agent moves: {moves}");
             // A process that started since, or word of it that comes later.
             now.set(entries("SERVING", u64::from(!moves)));
-            now.settled();
+            now.wait_until_list_received();
             // The other one may have been the faster for a while: it is not found slower at once.
             let back = Instant::now();
-            while leaves.seen.try_recv().is_err() {
-                assert!(back.elapsed() < LONG, "{last} for good, agent moves: {moves}");
+            while leaves.requests.try_recv().is_err() {
+                assert!(back.elapsed() < TEST_TIMEOUT, "{last} for good, agent moves: {moves}");
                 asked(&gateway, 1);
             }
         }
@@ -89,7 +89,7 @@
     times: usize,
     then: String,
 ) -> (std::net::SocketAddr, Receiver<Instant>) {
-    let listener = TcpListener::bind((own_address(), 0)).expect("a free port");
+    let listener = TcpListener::bind((unique_loopback_ip(), 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (tell, fell) = channel();
     std::thread::spawn(move || {
@@ -135,19 +135,19 @@
 fn a_silent_watch_is_opened_anew_within_the_grace() {
     for how in [Silence::Head, Silence::MidHead, Silence::MidBody, Silence::Line] {
         for times in [1, 3] {
-            let (stays, leaves) = (Fake::start(|_| ok("x")), Fake::start(|_| ok("x")));
+            let (stays, leaves) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
             let entries =
                 |status| vec![entry("s-0", stays.address, "SERVING"), entry("s-1", leaves.address, status)];
             let first =
                 if let Silence::Line = how { vec![] } else { vec![list(1, true, &entries("SERVING"))] };
             let (discovery, fell) = silent(first, how, times, list(2, true, &entries("DRAINING")));
             let known = Some(list(1, true, &entries("SERVING")));
-            let start = Start { known, changes: WITH_GRACE, ..Start::default() };
+            let start = GatewayOptions { known, changes: WITH_GRACE, ..GatewayOptions::default() };
             let (gateway, _counter) = gateway(&start, discovery);
             let mut last = Instant::now();
-            (0..times).for_each(|_| last = fell.recv_timeout(LONG).expect("it falls silent"));
-            while gateway.figures()["skipped_backends"] != 1 {
-                assert!(last.elapsed() < LONG, "{how:?} {times}: never");
+            (0..times).for_each(|_| last = fell.recv_timeout(TEST_TIMEOUT).expect("it falls silent"));
+            while gateway.metrics()["skipped_backends"] != 1 {
+                assert!(last.elapsed() < TEST_TIMEOUT, "{how:?} {times}: never");
             }
             assert!(last.elapsed() < GRACE, "{how:?} {times}: {:?} after the last silence", last.elapsed());
             asked(&gateway, 20);
@@ -158,17 +158,17 @@
 /// Guards against a new agent that is silent at first, right after SIGHUP.
 #[test]
 fn silence_right_after_a_new_configuration_is_not_sat_out() {
-    let (before, after) = (Fake::start(|_| ok("x")), Fake::start(|_| ok("x")));
-    let old = Discovery::start(vec![entry("s-0", before.address, "SERVING")]);
-    let (gateway, counter) = gateway(&Start::default(), old.fake.address);
-    old.settled();
+    let (before, after) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
+    let old = FakeDiscovery::start(vec![entry("s-0", before.address, "SERVING")]);
+    let (gateway, counter) = gateway(&GatewayOptions::default(), old.server.address);
+    old.wait_until_list_received();
     let then = list(7, true, &[entry("s-9", after.address, "SERVING")]);
     let (new, fell) = silent(vec![], Silence::Head, 2, then);
     let told = Instant::now();
     gateway.reload(new, counter.address);
-    let silences = (0..2).map_while(|_| fell.recv_timeout(LONG).ok()).count();
+    let silences = (0..2).map_while(|_| fell.recv_timeout(TEST_TIMEOUT).ok()).count();
     assert_eq!(silences, 2);
-    while gateway.figures()["known_backends"] != 1 || after.seen.try_recv().is_err() {
+    while gateway.metrics()["known_backends"] != 1 || after.requests.try_recv().is_err() {
         asked(&gateway, 1);
         assert!(told.elapsed() < Duration::from_secs(4), "what it has counts as told by now");
     }
@@ -177,23 +177,23 @@
 /// Guards against a list that is read only in the form that is usual.
 #[test]
 fn an_indented_list_is_read_and_half_a_one_changes_nothing() {
-    let (first, second) = (Fake::start(|_| ok("x")), Fake::start(|_| ok("x")));
-    let text = |backend: &Fake| list(1, true, &[entry("s-0", backend.address, "SERVING")]);
+    let (first, second) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
+    let text = |backend: &FakeServer| list(1, true, &[entry("s-0", backend.address, "SERVING")]);
     let parsed: serde_json::Value = serde_json::from_str(&text(&second)).expect("a list");
     let indented = serde_json::to_string_pretty(&parsed);
     let (half, indented) = (text(&second), indented.expect("a list"));
     let calls = AtomicUsize::new(0);
     let known = text(&first);
-    let discovery = Fake::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
+    let discovery = FakeServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => ok(&half[..half.len() / 2]),
         1 => ok(&indented),
         _ => Reaction::Silence,
     });
-    let start = Start { known: Some(known), ..Start::default() };
+    let start = GatewayOptions { known: Some(known), ..GatewayOptions::default() };
     let (gateway, _counter) = gateway(&start, discovery.address);
-    discovery.next();
-    assert_eq!(discovery.next().path(), "/v1/servers", "the whole list is asked for");
-    discovery.next();
+    discovery.next_request();
+    assert_eq!(discovery.next_request().path(), "/v1/servers", "the whole list is asked for");
+    discovery.next_request();
     asked(&gateway, 3);
-    assert_eq!(second.seen.try_iter().count(), 3);
+    assert_eq!(second.requests.try_iter().count(), 3);
 }
--- a/node/tests/log_failures.rs
+++ b/node/tests/log_failures.rs
@@ -9,36 +9,36 @@
 use std::time::{Duration, Instant};
 
 /// A gateway whose log goes there, with one backend.
-fn scene(log: OwnedFd, backend: &Fake) -> Scene {
-    let start = Start { log: Some(log), ..Start::default() };
-    Scene::new(&start, serving(&[backend]), counter())
+fn scene(log: OwnedFd, backend: &FakeServer) -> Fixture {
+    let start = GatewayOptions { log: Some(log), ..GatewayOptions::default() };
+    Fixture::new(&start, serving_entries(&[backend]), fake_counter())
 }
 
 /// Guards against a process that ends because its log's disk is full.
 #[test]
 fn a_log_on_a_full_disk_ends_nothing() {
     let full = File::options().write(true).open("/dev/full").expect("a disk that is full");
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let mut scene = scene(full.into(), &backend);
     // Each reload is told in the log.
     for _ in 0..3 {
-        scene.gateway.reload(scene.discovery.fake.address, scene.counter.address);
+        scene.gateway.reload(scene.discovery.server.address, scene.counter.address);
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(scene.gateway.client().ask(&request("consulta", 9, 1_000)).status(), 200);
     scene.gateway.terminate();
-    assert!(scene.gateway.wait().success());
+    assert!(scene.gateway.wait_for_exit().success());
 }
 
 /// Guards against timers that stop with the first report that nobody reads: no deadline would be kept any more.
 #[test]
 fn deadlines_are_kept_after_the_reader_of_the_log_has_gone() {
     let (reader, writer) = std::io::pipe().expect("a pipe");
-    let silent_for_nine = |seen: &Seen| match seen.path().ends_with('9') {
+    let silent_for_nine = |seen: &HttpMessage| match seen.path().ends_with('9') {
         true => Reaction::Silence,
         false => ok("x"),
     };
-    let backend = Fake::start(silent_for_nine);
+    let backend = FakeServer::start(silent_for_nine);
     let scene = scene(writer.into(), &backend);
     drop(reader);
     // The report comes every 5 s with traffic.
@@ -60,7 +60,7 @@
     // Once it is full, the last write waits for good.
     std::thread::spawn(move || while writer.write_all(&[b'x'; 4096]).is_ok() {});
     std::thread::sleep(Duration::from_millis(200));
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let scene = scene(filler.into(), &backend);
     assert_eq!(scene.gateway.client().ask(&request("consulta", 9, 1_000)).status(), 200);
 }
--- a/node/tests/long_answers.rs
+++ b/node/tests/long_answers.rs
@@ -87,8 +87,8 @@
 
 /// A gateway and its backends.
 struct Play {
-    scene: Scene,
-    backends: Vec<Fake>,
+    scene: Fixture,
+    backends: Vec<FakeServer>,
 }
 
 impl Play {
@@ -97,14 +97,14 @@
         let react = Arc::new(react);
         let by_customer = || {
             let react = react.clone();
-            Fake::start(move |seen| {
+            FakeServer::start(move |seen| {
                 let customer = seen.path().rsplit('/').next().expect("a customer");
                 react(u64::from_str_radix(customer, 16).expect("a number"))
             })
         };
-        let backends: Vec<Fake> = (0..backends).map(|_| by_customer()).collect();
-        let entries = serving(&backends.iter().collect::<Vec<_>>());
-        Play { scene: Scene::new(&Start::default(), entries, counter()), backends }
+        let backends: Vec<FakeServer> = (0..backends).map(|_| by_customer()).collect();
+        let entries = serving_entries(&backends.iter().collect::<Vec<_>>());
+        Play { scene: Fixture::new(&GatewayOptions::default(), entries, fake_counter()), backends }
     }
 
     fn one(reaction: impl Fn() -> Reaction + Send + Sync + 'static) -> Self {
@@ -116,7 +116,7 @@
     }
 
     fn none_interrupted(&self) {
-        let interrupted = self.gateway().figures()["answers_interrupted"].to_string();
+        let interrupted = self.gateway().metrics()["answers_interrupted"].to_string();
         assert_eq!(interrupted.matches(":0").count(), 8, "{interrupted}");
     }
 
@@ -136,11 +136,11 @@
         cases.into_iter().map(|(customer, case)| (case, play.begin(customer))).collect();
     let failed: Vec<String> = std::thread::scope(|scope| {
         let check = |(case, mut client): (Case, Client)| {
-            let answer = client.answer();
+            let answer = client.read_answer();
             let whole = answer
                 .as_ref()
                 .is_some_and(|a| a.status() == 200 && a.body == body(case.length()).as_bytes());
-            let seen = answer.map(|a| (a.line, a.body.len()));
+            let seen = answer.map(|a| (a.start_line, a.body.len()));
             (!whole).then(|| format!("{} {:?}: {seen:?} of {}", case.what, case.framing, case.length()))
         };
         let checks: Vec<_> = clients.into_iter().map(|c| scope.spawn(move || check(c))).collect();
@@ -227,7 +227,7 @@
         }
         other => other,
     });
-    let answer = play.begin(1).answer().expect("an answer");
+    let answer = play.begin(1).read_answer().expect("an answer");
     assert_eq!((answer.status(), answer.body.len()), (200, 100_000), "{}", play.gateway().log());
 }
 
@@ -242,7 +242,7 @@
             true => format!("{n:x}\r\n{}\r\n", "z".repeat(n)),
             false => "z".repeat(n),
         };
-        let listener = TcpListener::bind((own_address(), 0)).expect("a free port");
+        let listener = TcpListener::bind((unique_loopback_ip(), 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
         let backend = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a connection");
@@ -250,17 +250,18 @@
             read_message(&mut from, 0).expect("a request");
             let head = format!("HTTP/1.1 200 OK\r\n{length}\r\n\r\n");
             stream.write_all((head + &piece(first)).as_bytes()).expect("the gateway reads");
-            wait.lock().expect("unpoisoned").recv_timeout(LONG).expect("the test goes on");
+            wait.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT).expect("the test goes on");
             let end = if chunked { "0\r\n\r\n" } else { "" };
             stream.write_all((piece(170_000 - first) + end).as_bytes()).expect("the kernel takes it");
             let _ = from.read(&mut [0]);
         });
         let entries = vec![entry("s-0", address, "SERVING")];
-        let Scene { gateway, discovery, counter } = Scene::new(&Start::default(), entries, counter());
+        let Fixture { gateway, discovery, counter } =
+            Fixture::new(&GatewayOptions::default(), entries, fake_counter());
         let mut client = gateway.client();
         let began = Instant::now();
         client.send(&request("consulta", 1, WAIT));
-        assert_eq!(client.line(), "HTTP/1.1 200 OK");
+        assert_eq!(client.read_line(), "HTTP/1.1 200 OK");
         gateway.signal("-STOP");
         // Longer than any of its time limits.
         let frozen = Duration::from_millis(4_500);
@@ -268,10 +269,10 @@
         go.send(()).expect("the backend waits");
         std::thread::sleep(frozen.saturating_sub(began.elapsed()));
         gateway.signal("-CONT");
-        while !client.line().is_empty() {}
+        while !client.read_line().is_empty() {}
         let mut rest = Vec::new();
         while rest.len() < 170_000 {
-            let more = client.rest().filter(|more| !more.is_empty());
+            let more = client.read_available().filter(|more| !more.is_empty());
             rest.extend(
                 more.unwrap_or_else(|| panic!("{} bytes, then the end: {}", rest.len(), gateway.log())),
             );
@@ -284,7 +285,7 @@
 /// Reads as an answer comes; returns the bytes of the body's framing and all, and whether it ended as it should.
 fn read_slowly(client: &mut Client, piece: usize, pause: Duration) -> Vec<u8> {
     let mut taken = Vec::new();
-    while let Some(more) = client.rest().filter(|more| !more.is_empty()) {
+    while let Some(more) = client.read_available().filter(|more| !more.is_empty()) {
         let before = taken.len() / piece;
         taken.extend(more);
         if taken.len() / piece > before {
@@ -330,7 +331,7 @@
     let play = Play::new(move |n| Reaction::Answer(texts[n as usize - 1].clone()), 4);
     let clients: Vec<_> = (1..=count).map(|n| (n, Instant::now(), play.begin(n))).collect();
     for (n, began, mut client) in clients {
-        let answer = client.answer();
+        let answer = client.read_answer();
         let took = began.elapsed();
         assert!(answer.is_none_or(|a| a.status() >= 400), "answer {n} was passed on as if whole");
         let (least, most) = (Duration::from_millis(WAIT - 60), Duration::from_millis(WAIT) + GRACE);
@@ -350,12 +351,12 @@
     );
     let clients: Vec<_> = (1..=2).map(|n| (Instant::now(), play.begin(n))).collect();
     for (began, mut client) in clients {
-        assert!(client.answer().is_none(), "passed on as if whole");
+        assert!(client.read_answer().is_none(), "passed on as if whole");
         let took = began.elapsed();
         // A backend may rest for almost 4 s.
         assert!(took > Duration::from_millis(3_900) && took < Duration::from_millis(5_500), "{took:?}");
     }
-    assert_eq!(play.gateway().figures()["answers_interrupted"]["stalled"], 2);
+    assert_eq!(play.gateway().metrics()["answers_interrupted"]["stalled"], 2);
 }
 
 /// Guards against an end of the backend's service that cuts off the answers it is still giving.
@@ -363,14 +364,16 @@
 fn a_backend_that_goes_while_its_answer_flows() {
     type Trouble = fn(&Play);
     let troubles: [(&str, Trouble); 6] = [
-        ("out by hand", |s| assert_eq!(s.gateway().call("PUT /backends/disable?id=s-0").status(), 200)),
+        ("out by hand", |s| {
+            assert_eq!(s.gateway().ops_request("PUT /backends/disable?id=s-0").status(), 200)
+        }),
         ("draining", |s| s.scene.discovery.set(vec![entry("s-0", s.backends[0].address, "DRAINING")])),
         ("deleted", |s| s.scene.discovery.set(vec![entry("s-0", s.backends[0].address, "DELETED")])),
         ("left out of the list", |s| s.scene.discovery.replace(9, vec![])),
         ("restarted elsewhere", |s| {
-            s.scene.discovery.set(vec![entry_since("s-0", free_port(), "SERVING", 5)])
+            s.scene.discovery.set(vec![entry_since("s-0", unused_address(), "SERVING", 5)])
         }),
-        ("the gateway drained", |s| assert_eq!(s.gateway().call("PUT /drain").status(), 200)),
+        ("the gateway drained", |s| assert_eq!(s.gateway().ops_request("PUT /drain").status(), 200)),
     ];
     std::thread::scope(|scope| {
         for (what, trouble) in troubles {
@@ -379,9 +382,9 @@
                 let length = case.length();
                 let play = Play::one(move || case.reaction());
                 let mut client = play.begin(1);
-                play.backends[0].next();
+                play.backends[0].next_request();
                 trouble(&play);
-                let answer = client.answer();
+                let answer = client.read_answer();
                 let seen = answer.map(|a| (a.status(), a.body.len()));
                 assert_eq!(seen, Some((200, length)), "{what}: {}", play.gateway().log());
             });
@@ -398,7 +401,7 @@
         format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n186a0\r\n{whole}\r\n0\r\n\r\n");
     for text in [length, chunks] {
         let play = Play::one(move || Reaction::PiecesAndClose(vec![(0, text.clone())]));
-        let answer = play.begin(1).answer().expect("an answer");
+        let answer = play.begin(1).read_answer().expect("an answer");
         assert_eq!((answer.status(), answer.body.len()), (200, 100_000));
     }
 }
@@ -409,9 +412,9 @@
     let case = case("reload", Framing::Chunks, &[(0, 1, 20_000), (400, 5, 20_000)]);
     let play = Play::one(move || case.reaction());
     let mut client = play.begin(1);
-    play.backends[0].next();
-    let (elsewhere, counter) = (Discovery::start(vec![]), counter());
-    play.gateway().reload(elsewhere.fake.address, counter.address);
-    let answer = client.answer().expect("an answer");
+    play.backends[0].next_request();
+    let (elsewhere, counter) = (FakeDiscovery::start(vec![]), fake_counter());
+    play.gateway().reload(elsewhere.server.address, counter.address);
+    let answer = client.read_answer().expect("an answer");
     assert_eq!((answer.status(), answer.body.len()), (200, 120_000), "{}", play.gateway().log());
 }
--- a/node/tests/long_uploads.rs
+++ b/node/tests/long_uploads.rs
@@ -12,13 +12,13 @@
 /// What clients are told to have from the end of the body, in milliseconds.
 const WAIT: u64 = 700;
 
-fn scene(backend: SocketAddr) -> Scene {
-    Scene::new(&Start::default(), vec![entry("s-0", backend, "SERVING")], counter())
+fn scene(backend: SocketAddr) -> Fixture {
+    Fixture::new(&GatewayOptions::default(), vec![entry("s-0", backend, "SERVING")], fake_counter())
 }
 
 /// A backend whose connections are served by a function, one after the other; tells how many there were.
 fn raw_backend(serve: impl Fn(BufReader<TcpStream>) + Send + 'static) -> (SocketAddr, Receiver<()>) {
-    let listener = TcpListener::bind((own_address(), 0)).expect("a free port");
+    let listener = TcpListener::bind((unique_loopback_ip(), 0)).expect("a free port");
     let address = listener.local_addr().expect("an address");
     let (tell, connections) = channel();
     std::thread::spawn(move || {
@@ -70,7 +70,7 @@
         &[(0, 1, 200_000), (1_900, 2, 1), (0, 1, 800_000)],
         &[(0, 50, 1), (250, 12, 16_000)],
     ];
-    let backend = Fake::start(|seen| ok(&seen.body.len().to_string()));
+    let backend = FakeServer::start(|seen| ok(&seen.body.len().to_string()));
     let scene = scene(backend.address);
     std::thread::scope(|scope| {
         for (script, chunked) in scripts.iter().flat_map(|s| [(s, false), (s, true)]) {
@@ -88,7 +88,7 @@
                 if chunked {
                     client.send("0\r\n\r\n");
                 }
-                let answer = client.answer().expect("an answer");
+                let answer = client.read_answer().expect("an answer");
                 let seen = (answer.status(), String::from_utf8(answer.body).expect("a number"));
                 assert_eq!(seen, (200, length.to_string()), "{script:?} {chunked}: {}", gateway.log());
             });
@@ -112,7 +112,7 @@
     let mut client = scene.gateway.client();
     client.send(&head(Some(length)));
     client.send(&"y".repeat(length));
-    let answer = client.answer().expect("an answer");
+    let answer = client.read_answer().expect("an answer");
     assert_eq!(answer.status(), 200, "{}", scene.gateway.log());
 }
 
@@ -141,7 +141,7 @@
             write(&from, &answer("200 OK", "", &text));
             // The first request's body is never read, the other requests have none.
             if first {
-                std::thread::sleep(LONG);
+                std::thread::sleep(TEST_TIMEOUT);
             }
             while from.fill_buf().is_ok_and(|rest| !rest.is_empty()) {
                 read_head(&mut from);
@@ -153,7 +153,7 @@
     let mut client = scene.gateway.client();
     client.send(&head(Some(LENGTH)));
     client.send(&"y".repeat(100_000));
-    let first = client.answer().expect("an answer");
+    let first = client.read_answer().expect("an answer");
     assert_eq!((first.status(), first.body.len()), (200, 200_000), "{}", scene.gateway.log());
     // The client goes on sending; the next request, on any connection, does not wait for that.
     let next = scene.gateway.client().ask(&request("consulta", 8, 2000));
@@ -164,14 +164,14 @@
 }
 
 /// A client that has sent a part of its body, and has the beginning of an answer that never ends.
-fn half_sent_and_half_answered() -> (Scene, Client) {
+fn half_sent_and_half_answered() -> (Fixture, Client) {
     let (address, _connections) =
         early("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n".to_owned());
     let scene = scene(address);
     let mut client = scene.gateway.client();
     client.send(&head(Some(LENGTH)));
     client.send(&"y".repeat(100_000));
-    assert_eq!(client.line(), "HTTP/1.1 200 OK");
+    assert_eq!(client.read_line(), "HTTP/1.1 200 OK");
     (scene, client)
 }
 
@@ -185,7 +185,7 @@
     client.read_to_end();
     let took = whole.elapsed();
     assert!(took < Duration::from_millis(WAIT + 500), "{took:?} {}", scene.gateway.log());
-    assert_eq!(scene.gateway.figures()["answers_interrupted"]["late"], 1);
+    assert_eq!(scene.gateway.metrics()["answers_interrupted"]["late"], 1);
 }
 
 /// Guards against a client that stops sending, holding its place behind an answer that came early.
@@ -213,7 +213,7 @@
     let mut client = scene.gateway.client();
     client.send(&head(Some(LENGTH)));
     client.send(&"y".repeat(100_000));
-    let answer = client.answer().map(|a| (a.status(), a.body.len()));
+    let answer = client.read_answer().map(|a| (a.status(), a.body.len()));
     assert_eq!(answer, Some((200, 130_000)), "{}", scene.gateway.log());
 }
 
@@ -221,11 +221,11 @@
 /// its request's body is whole tells what is left after the last byte.
 #[test]
 fn a_backend_is_told_what_the_client_waits_after_its_body() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let scene = scene(backend.address);
     let mut client = scene.gateway.client();
     client.send(&head(Some(LENGTH)));
     assert_eq!(client.ask(&"y".repeat(LENGTH)).status(), 200);
-    let told = backend.next().header("x-time-left-ms").and_then(|v| v.parse::<u64>().ok());
+    let told = backend.next_request().header("x-time-left-ms").and_then(|v| v.parse::<u64>().ok());
     assert!(told.is_some_and(|ms| ms <= WAIT), "{told:?}");
 }
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -5,34 +5,35 @@
 use common::*;
 use std::time::{Duration, Instant};
 
-fn gateway(backends: &[&Fake]) -> (Gateway, Discovery, Fake) {
-    let Scene { gateway, discovery, counter } = Scene::new(&Start::default(), serving(backends), counter());
+fn gateway(backends: &[&FakeServer]) -> (Gateway, FakeDiscovery, FakeServer) {
+    let Fixture { gateway, discovery, counter } =
+        Fixture::new(&GatewayOptions::default(), serving_entries(backends), fake_counter());
     (gateway, discovery, counter)
 }
 
 /// Guards against work sent to a backend that operators restart, also after a list that names it anew.
 #[test]
 fn a_backend_taken_out_gets_nothing_until_it_is_put_back() {
-    let backends = [Fake::start(|_| ok("0")), Fake::start(|_| ok("1"))];
+    let backends = [FakeServer::start(|_| ok("0")), FakeServer::start(|_| ok("1"))];
     let (gateway, discovery, _counter) = gateway(&[&backends[0], &backends[1]]);
     let mut client = gateway.client();
     let mut served = || -> Vec<Vec<u8>> {
         (0..12).map(|n| client.ask(&request("consulta", n, 2000)).body).filter(|b| b.len() == 1).collect()
     };
     for _ in 0..2 {
-        assert_eq!(gateway.call("PUT /backends/disable?id=s-0").status(), 200);
+        assert_eq!(gateway.ops_request("PUT /backends/disable?id=s-0").status(), 200);
     }
     assert!(served().iter().all(|b| b == b"1"));
     discovery.set(vec![entry("s-1", backends[1].address, "SERVING")]);
-    discovery.settled();
+    discovery.wait_until_list_received();
     discovery.set((0..2).map(|i| entry(&format!("s-{i}"), backends[i].address, "SERVING")).collect());
-    discovery.settled();
+    discovery.wait_until_list_received();
     assert!(served().iter().all(|b| b == b"1"));
-    assert_eq!(gateway.figures()["skipped_backends"], 1);
-    assert_eq!(gateway.call("PUT /backends/enable?id=s-0").status(), 200);
-    assert_eq!(gateway.figures()["skipped_backends"], 0);
-    assert_eq!(gateway.call("PUT /backends/disable?id=s-1").status(), 200);
-    let until = Instant::now() + LONG;
+    assert_eq!(gateway.metrics()["skipped_backends"], 1);
+    assert_eq!(gateway.ops_request("PUT /backends/enable?id=s-0").status(), 200);
+    assert_eq!(gateway.metrics()["skipped_backends"], 0);
+    assert_eq!(gateway.ops_request("PUT /backends/disable?id=s-1").status(), 200);
+    let until = Instant::now() + TEST_TIMEOUT;
     while !served().contains(&b"0".to_vec()) {
         assert!(Instant::now() < until, "a backend that was put back stays unused");
     }
@@ -41,7 +42,7 @@
 /// Guards against a yes to a call that was not carried out.
 #[test]
 fn what_is_no_call_is_owed_a_no() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let (gateway, _discovery, _counter) = gateway(&[&backend]);
     let wrong = [
         ("PUT /backends/disable?id=s-9", 404),
@@ -55,39 +56,39 @@
         ("nonsense", 400),
     ];
     for (call, status) in wrong {
-        assert_eq!(gateway.call(call).status(), status, "{call}");
+        assert_eq!(gateway.ops_request(call).status(), status, "{call}");
     }
     // Half a call does nothing.
-    gateway.caller().send("PUT /drain HTTP/1.1\r\nhost: t\r\ncontent-length: 5\r\n\r\nab");
-    assert_eq!(gateway.call("GET /ready").status(), 200);
+    gateway.ops_client().send("PUT /drain HTTP/1.1\r\nhost: t\r\ncontent-length: 5\r\n\r\nab");
+    assert_eq!(gateway.ops_request("GET /ready").status(), 200);
 }
 
 /// Guards against operators shut out by callers that say nothing.
 #[test]
 fn silent_callers_delay_no_other() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let (gateway, _discovery, _counter) = gateway(&[&backend]);
-    let _silent: Vec<_> = (0..60).map(|_| gateway.caller()).collect();
+    let _silent: Vec<_> = (0..60).map(|_| gateway.ops_client()).collect();
     let began = Instant::now();
-    assert_eq!(gateway.call("GET /ready").status(), 200);
+    assert_eq!(gateway.ops_request("GET /ready").status(), 200);
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
 
 /// Guards against clients that stay on a gateway in a drain, and against a drain that does not end.
 #[test]
 fn a_drain_sends_clients_away_until_its_end() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let (gateway, _discovery, _counter) = gateway(&[&backend]);
     let (mut busy, mut idle) = (gateway.client(), gateway.client());
     assert_eq!(idle.ask(&request("consulta", 1, 2000)).header("connection"), None);
-    assert_eq!(gateway.call("PUT /drain").status(), 200);
-    assert_eq!((gateway.health(), gateway.call("GET /ready").status()), (Some(503), 503));
+    assert_eq!(gateway.ops_request("PUT /drain").status(), 200);
+    assert_eq!((gateway.health(), gateway.ops_request("GET /ready").status()), (Some(503), 503));
     // What comes still is served, and is the last on its connection.
     let answer = busy.ask(&request("consulta", 2, 2000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(busy.at_end() && idle.at_end());
-    assert_eq!(gateway.call("PUT /undrain").status(), 200);
-    assert_eq!((gateway.health(), gateway.call("GET /ready").status()), (Some(200), 200));
+    assert!(busy.at_eof() && idle.at_eof());
+    assert_eq!(gateway.ops_request("PUT /undrain").status(), 200);
+    assert_eq!((gateway.health(), gateway.ops_request("GET /ready").status()), (Some(200), 200));
     let mut client = gateway.client();
     for _ in 0..2 {
         assert_eq!(client.ask(&request("consulta", 3, 2000)).header("connection"), None);
@@ -97,8 +98,8 @@
 /// Guards against figures that do not tell what became of requests and attempts.
 #[test]
 fn the_figures_count_each_request_once() {
-    let backend = Fake::start(|seen| match seen.path() {
-        path if path.contains("orden") => Reaction::Break,
+    let backend = FakeServer::start(|seen| match seen.path() {
+        path if path.contains("orden") => Reaction::Close,
         path if path.ends_with("9") => Reaction::Silence,
         _ => ok("x"),
     });
@@ -110,35 +111,35 @@
     assert_eq!(client.ask(&request("orden-nueva", 4, 2000)).status(), 504);
     let mut waits = gateway.client();
     waits.send(&request("consulta", 9, 2500));
-    while !backend.next().path().ends_with("9") {}
-    let seen = gateway.figures();
+    while !backend.next_request().path().ends_with("9") {}
+    let seen = gateway.metrics();
     assert_eq!(seen["passed"], serde_json::json!({"consulta": 3, "modificar": 0, "orden-nueva": 0}));
     assert_eq!(seen["bad_gateway"]["orden-nueva"], 1);
     assert_eq!(seen["dropped"]["consulta"], 0);
     assert_eq!((&seen["upstream_tries"], &seen["in_progress"]), (&5.into(), &1.into()));
     assert_eq!((&seen["known_backends"], &seen["skipped_backends"]), (&1.into(), &0.into()));
-    gateway.call("PUT /backends/disable?id=s-0");
+    gateway.ops_request("PUT /backends/disable?id=s-0");
     assert!(client.ask(&request("consulta", 5, 2000)).status() >= 429);
-    assert_eq!(gateway.figures()["dropped"]["consulta"], 1);
+    assert_eq!(gateway.metrics()["dropped"]["consulta"], 1);
 }
 
 /// Guards against a call that is cut off before it was heard: it came first of many that stood in the door's line
 /// while the process had no processor, the others say nothing.
 #[test]
 fn a_call_that_came_before_silent_callers_is_answered() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let (gateway, _discovery, _counter) = gateway(&[&backend]);
     gateway.signal("-STOP");
-    let mut calls: Vec<Client> = (0..3).map(|_| gateway.caller()).collect();
+    let mut calls: Vec<Client> = (0..3).map(|_| gateway.ops_client()).collect();
     calls.iter_mut().for_each(|c| c.send("GET /ready HTTP/1.1\r\nhost: t\r\n\r\n"));
-    let mut silent: Vec<Client> = (0..60).map(|_| gateway.caller()).collect();
-    let mut last = gateway.caller();
+    let mut silent: Vec<Client> = (0..60).map(|_| gateway.ops_client()).collect();
+    let mut last = gateway.ops_client();
     last.send("GET /ready HTTP/1.1\r\nhost: t\r\n\r\n");
-    silent.extend((0..3).map(|_| gateway.caller()));
+    silent.extend((0..3).map(|_| gateway.ops_client()));
     let began = Instant::now();
     gateway.signal("-CONT");
     for (n, call) in calls.iter_mut().chain([&mut last]).enumerate() {
-        assert_eq!(call.answer().map(|a| a.status()), Some(200), "call {n}");
+        assert_eq!(call.read_answer().map(|a| a.status()), Some(200), "call {n}");
     }
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
@@ -147,7 +148,7 @@
 /// what is sent in pieces, too much or in odd forms.
 #[test]
 fn odd_calls_get_their_one_answer_and_do_only_what_they_say() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let (gateway, discovery, _counter) = gateway(&[&backend]);
     let call = |line: &str, rest: &str| format!("{line} HTTP/1.1\r\nhost: t\r\n{rest}");
     let long = "y".repeat(7000);
@@ -181,32 +182,32 @@
     for (text, status) in cases {
         let shown = &text[..text.len().min(80)];
         let began = Instant::now();
-        let mut caller = gateway.caller();
-        caller.push(&text);
-        assert_eq!(caller.answer().map(|a| a.status()), Some(status), "{shown}");
-        assert!(caller.at_end(), "{shown}: it is not ended well");
+        let mut caller = gateway.ops_client();
+        caller.send_ignoring_errors(&text);
+        assert_eq!(caller.read_answer().map(|a| a.status()), Some(status), "{shown}");
+        assert!(caller.at_eof(), "{shown}: it is not ended well");
         assert!(began.elapsed() < Duration::from_secs(1), "{shown}: {:?}", began.elapsed());
-        assert_eq!(gateway.call("GET /ready").status(), 200, "{shown}");
-        assert_eq!(gateway.figures()["skipped_backends"], 0, "{shown}");
+        assert_eq!(gateway.ops_request("GET /ready").status(), 200, "{shown}");
+        assert_eq!(gateway.metrics()["skipped_backends"], 0, "{shown}");
     }
     // In pieces over 2.5 s, with silent callers beside it; another beyond 3 s is over.
-    let mut callers = [gateway.caller(), gateway.caller()];
+    let mut callers = [gateway.ops_client(), gateway.ops_client()];
     let text = call("PUT /backends/disable?id=s-0", "content-length: 2\r\n\r\nxy");
-    let _silent: Vec<Client> = (0..6).map(|_| gateway.caller()).collect();
+    let _silent: Vec<Client> = (0..6).map(|_| gateway.ops_client()).collect();
     for piece in text.as_bytes().chunks(text.len() / 10 + 1) {
         let piece = String::from_utf8_lossy(piece);
         callers[0].send(&piece);
         callers[1].send(&piece[..piece.len() - 1]);
         std::thread::sleep(Duration::from_millis(240));
     }
-    assert_eq!(callers[0].answer().map(|a| a.status()), Some(200));
-    assert!(callers[1].ended_or_failed());
-    assert_eq!(gateway.figures()["skipped_backends"], 1);
+    assert_eq!(callers[0].read_answer().map(|a| a.status()), Some(200));
+    assert!(callers[1].closed_or_error());
+    assert_eq!(gateway.metrics()["skipped_backends"], 1);
     // Out by hand and gone; a second way back in is a way in for none.
     discovery.set(vec![entry("s-0", backend.address, "DELETED")]);
-    discovery.settled();
+    discovery.wait_until_list_received();
     let statuses = ["disable", "enable", "enable", "disable"]
-        .map(|what| gateway.call(&format!("PUT /backends/{what}?id=s-0")).status());
+        .map(|what| gateway.ops_request(&format!("PUT /backends/{what}?id=s-0")).status());
     assert_eq!(statuses, [200, 200, 404, 404]);
 }
 
@@ -214,27 +215,30 @@
 /// turns, up to its last moment, while clients are served.
 #[test]
 fn calls_in_quick_turns_and_at_the_end() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let (mut gateway, _discovery, _counter) = gateway(&[&backend]);
     for round in 0..50 {
-        assert_eq!(gateway.call("PUT /drain").status(), 200);
+        assert_eq!(gateway.ops_request("PUT /drain").status(), 200);
         assert_eq!(gateway.client().ask(&request("consulta", round, 2000)).status(), 200);
-        assert_eq!(gateway.call("PUT /undrain").status(), 200);
-        assert_eq!((gateway.health(), gateway.call("GET /ready").status()), (Some(200), 200));
+        assert_eq!(gateway.ops_request("PUT /undrain").status(), 200);
+        assert_eq!((gateway.health(), gateway.ops_request("GET /ready").status()), (Some(200), 200));
     }
     gateway.terminate();
-    while gateway.call("GET /ready").status() == 200 {}
+    while gateway.ops_request("GET /ready").status() == 200 {}
     let (mut answered, mut cut) = (0, 0);
     while let Ok(stream) = std::net::TcpStream::connect(gateway.ops) {
-        let mut caller = Client::over(stream);
-        caller.push(&format!("{} HTTP/1.1\r\nhost: t\r\n\r\n", ["PUT /undrain", "GET /ready"][answered % 2]));
-        match caller.answer() {
+        let mut caller = Client::from_stream(stream);
+        caller.send_ignoring_errors(&format!(
+            "{} HTTP/1.1\r\nhost: t\r\n\r\n",
+            ["PUT /undrain", "GET /ready"][answered % 2]
+        ));
+        match caller.read_answer() {
             Some(answer) => assert_eq!(answer.status(), [200, 503][answered % 2]),
             None => cut += 1,
         }
         answered += 1;
     }
-    assert!(gateway.wait().success());
+    assert!(gateway.wait_for_exit().success());
     // One that crosses the very end is cut off with the process.
     assert!(answered > 20 && cut <= 1, "{cut} of {answered} cut off");
 }
--- a/node/tests/pool.rs
+++ b/node/tests/pool.rs
@@ -49,7 +49,7 @@
         handover_socket: None,
         max_operator_connections: 1,
         max_body_bytes: 1 << 20,
-        backend_idle_timeout: LONG,
+        backend_idle_timeout: TEST_TIMEOUT,
     });
     pool.update_backend(ID, backend, true, false);
     pool
@@ -57,7 +57,7 @@
 
 /// A client's connection, and a message that came on it.
 async fn client() -> (std::net::TcpStream, Message) {
-    let listener = TcpListener::bind((own_address(), 0)).await.expect("a free port");
+    let listener = TcpListener::bind((unique_loopback_ip(), 0)).await.expect("a free port");
     let there =
         std::net::TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (here, _): (TcpStream, _) = listener.accept().await.expect("a connection");
@@ -71,7 +71,7 @@
         target,
         headers: headers.into_iter().collect(),
         body,
-        client_wait: LONG,
+        client_wait: TEST_TIMEOUT,
         client: Meter::new(here),
     };
     (there, message)
@@ -82,7 +82,7 @@
 }
 
 async fn attempt(pool: &Rc<Pool>, message: &Message) -> Result<CompletedAttempt, ClientClosed> {
-    pool.attempt(ID, message, &limits(Instant::now() + LONG)).await
+    pool.attempt(ID, message, &limits(Instant::now() + TEST_TIMEOUT)).await
 }
 
 /// Guards against an attempt for a client that has just closed its connection, of which the runtime has not been
@@ -91,13 +91,13 @@
 fn no_attempt_begins_for_a_client_that_has_closed() {
     run(async {
         for at_hand in [false, true] {
-            let backend = Fake::start(|_| ok("x"));
+            let backend = FakeServer::start(|_| ok("x"));
             let pool = pool(backend.address, 8);
             if at_hand {
                 let (_stays, message) = client().await;
                 assert!(attempt(&pool, &message).await.is_ok_and(|f| f.outcome == Outcome::Ok));
-                backend.next();
-                tokio::time::sleep(SETTLED).await;
+                backend.next_request();
+                tokio::time::sleep(CONNECTION_REUSE_DELAY).await;
             }
             let (goes, message) = client().await;
             drop(goes);
@@ -106,9 +106,9 @@
             assert_eq!(pool.open_connections(), usize::from(at_hand));
             let (_stays, message) = client().await;
             assert!(attempt(&pool, &message).await.is_ok_and(|f| f.outcome == Outcome::Ok));
-            backend.next();
-            assert_eq!(backend.seen.try_iter().count(), 0);
-            assert_eq!(backend.connections.load(std::sync::atomic::Ordering::SeqCst), 1);
+            backend.next_request();
+            assert_eq!(backend.requests.try_iter().count(), 0);
+            assert_eq!(backend.connection_count.load(std::sync::atomic::Ordering::SeqCst), 1);
         }
     });
 }
@@ -117,17 +117,17 @@
 #[test]
 fn nothing_is_sent_over_a_new_connection_for_a_client_that_has_closed() {
     run(async {
-        let listener = TcpListener::bind((own_address(), 0)).await.expect("a free port");
+        let listener = TcpListener::bind((unique_loopback_ip(), 0)).await.expect("a free port");
         let pool = pool(listener.local_addr().expect("an address"), 8);
         let (goes, message) = client().await;
-        let last = limits(Instant::now() + LONG);
+        let last = limits(Instant::now() + TEST_TIMEOUT);
         let mut begun = std::pin::pin!(pool.attempt(ID, &message, &last));
         // Begun, and no further: the runtime has not been told of the connection.
         std::future::poll_fn(|cx| std::task::Poll::Ready(begun.as_mut().poll(cx).is_pending())).await;
         drop(goes);
         assert!(timeout(AT_ONCE, begun).await.expect("no wait").is_err());
         let (mut there, _) = listener.accept().await.expect("a connection");
-        let read = timeout(LONG, there.read_u8()).await.expect("an end");
+        let read = timeout(TEST_TIMEOUT, there.read_u8()).await.expect("an end");
         assert!(read.is_err(), "something was sent");
     });
 }
@@ -137,7 +137,7 @@
 #[test]
 fn no_attempt_waits_for_room() {
     run(async {
-        let backend = Fake::start(|_| Reaction::Silence);
+        let backend = FakeServer::start(|_| Reaction::Silence);
         let pool = pool(backend.address, 1);
         let ((_one, first), (_other, second)) = (client().await, client().await);
         let taken = pool.clone();
--- a/node/tests/readiness.rs
+++ b/node/tests/readiness.rs
@@ -27,12 +27,12 @@
     Silent,
 }
 
-fn discovery(address: SocketAddr, state: State, text: String) -> Fake {
+fn discovery(address: SocketAddr, state: State, text: String) -> FakeServer {
     let began = Instant::now();
     if state == State::Refused {
         std::thread::sleep(AWAY);
     }
-    Fake::over(TcpListener::bind(address).expect("a free port"), move |seen| {
+    FakeServer::with_listener(TcpListener::bind(address).expect("a free port"), move |seen| {
         let away = state == State::Silent && began.elapsed() < AWAY;
         if let State::Slow(by) = state {
             std::thread::sleep(by);
@@ -49,7 +49,7 @@
 /// old list, an empty one and none, while discovery is up, slow, or comes back after some seconds.
 #[test]
 fn nine_in_ten_processes_restarted_together_are_ready_within_10_s() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let serving = [entry("s-0", backend.address, "SERVING")];
     let known = [("old", Some(list(3, true, &serving))), ("empty", Some(list(3, true, &[]))), ("no", None)];
     let states = [State::Up, State::Slow(Duration::from_millis(1_500)), State::Refused, State::Silent];
@@ -64,12 +64,12 @@
     let current = list(7, true, &serving);
     let all: Vec<(String, Vec<Duration>)> = std::thread::scope(|scope| {
         let case = |(name, changes, state, known)| {
-            let (current, at) = (current.clone(), free_port());
+            let (current, at) = (current.clone(), unused_address());
             scope.spawn(move || {
                 let began = Instant::now();
                 let started = std::thread::spawn(move || discovery(at, state, current));
-                let start = Start { known, changes, ..Start::default() };
-                let launch = |_| (Gateway::launch(&start, at, free_port()), None);
+                let start = GatewayOptions { known, changes, ..GatewayOptions::default() };
+                let launch = |_| (Gateway::launch(&start, at, unused_address()), None);
                 let mut gateways: Vec<(Gateway, Option<Duration>)> = (0..PROCESSES).map(launch).collect();
                 while gateways.iter().any(|g| g.1.is_none()) && began.elapsed() < 3 * READY {
                     for (gateway, ready) in gateways.iter_mut().filter(|g| g.1.is_none()) {
