--- a/node/tests/service.rs
+++ b/node/tests/service.rs
@@ -13,31 +13,32 @@
 /// once, and against a file that can't be read taking the old settings away.
 #[test]
 fn a_new_configuration_moves_to_its_discovery_and_counter() {
-    let (before, after) = (Fake::start(|_| ok("before")), Fake::start(|_| ok("after")));
-    let start = Start { rate: 0.2, burst: 2.0, ..Start::default() };
-    let scene = Scene::new(&start, serving(&[&before]), counter());
+    let (before, after) = (FakeServer::start(|_| ok("before")), FakeServer::start(|_| ok("after")));
+    let start = GatewayOptions { rate: 0.2, burst: 2.0, ..GatewayOptions::default() };
+    let scene = Fixture::new(&start, serving_entries(&[&before]), fake_counter());
     let mut client = scene.gateway.client();
     assert_eq!(client.ask(&request("consulta", 1, 2000)).body, b"before");
 
     scene.gateway.reload_text("{ no file");
     assert_eq!(client.ask(&request("consulta", 2, 2000)).body, b"before");
 
-    let (discovery, counter) = (Discovery::start(vec![entry("s-9", after.address, "SERVING")]), counter());
+    let (discovery, counter) =
+        (FakeDiscovery::start(vec![entry("s-9", after.address, "SERVING")]), fake_counter());
     let told = Instant::now();
-    scene.gateway.reload(discovery.fake.address, counter.address);
+    scene.gateway.reload(discovery.server.address, counter.address);
     // The whole list comes first: the old index says nothing here.
-    assert_eq!(discovery.fake.next().path(), "/v1/servers");
-    discovery.settled();
+    assert_eq!(discovery.server.next_request().path(), "/v1/servers");
+    discovery.wait_until_list_received();
     assert!(told.elapsed() < Duration::from_secs(2), "an open watch was sat out: {:?}", told.elapsed());
-    scene.counter.seen.try_iter().for_each(drop);
+    scene.counter.requests.try_iter().for_each(drop);
     for customer in 10..14 {
         for _ in 0..3 {
             let answer = client.ask(&request("consulta", customer, 2000));
             assert!(answer.status() == 429 || answer.body == b"after", "{answer:?}");
         }
     }
-    counter.next();
-    assert_eq!(scene.counter.seen.try_iter().count(), 0);
+    counter.next_request();
+    assert_eq!(scene.counter.requests.try_iter().count(), 0);
 }
 
 /// Guards against one spoilt answer that takes its backend out of use, against a second try of what may
@@ -55,18 +56,18 @@
     for text in spoilt {
         let count = AtomicUsize::new(0);
         let shown = text.chars().take(60).collect::<String>();
-        let backend = Fake::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
+        let backend = FakeServer::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
             1 => Reaction::Answer(text.clone()),
             _ => ok("well"),
         });
-        let scene = Scene::new(&Start::default(), serving(&[&backend]), counter());
+        let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
         let mut client = scene.gateway.client();
         let statuses = [(); 3].map(|()| {
-            std::thread::sleep(SETTLED);
+            std::thread::sleep(CONNECTION_REUSE_DELAY);
             client.ask(&request("orden-nueva", 7, 3000)).status()
         });
         assert_eq!(statuses, [200, 504, 200], "{shown}");
-        let conns: Vec<usize> = backend.seen.try_iter().map(|s| s.conn).collect();
+        let conns: Vec<usize> = backend.requests.try_iter().map(|s| s.connection).collect();
         assert_eq!(conns, [0, 0, 1], "{shown}");
     }
 }
@@ -74,21 +75,21 @@
 /// Guards against bytes behind an answer that become the next request's: its connection is done with.
 #[test]
 fn what_stands_behind_an_answer_is_no_answer() {
-    let backend = Fake::start(|seen| {
+    let backend = FakeServer::start(|seen| {
         let own = answer("200 OK", "", seen.header("x-correlation-id").expect("an id"));
         Reaction::Answer(format!("HTTP/1.1 103 Early Hints\r\nlink: x\r\n\r\n{own}{own}"))
     });
-    let scene = Scene::new(&Start::default(), serving(&[&backend]), counter());
+    let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
     let mut client = scene.gateway.client();
     for _ in 0..20 {
-        std::thread::sleep(SETTLED);
+        std::thread::sleep(CONNECTION_REUSE_DELAY);
         let text = request("orden-nueva", 7, 3000);
         let answer = client.ask(&text);
         assert_eq!(answer.status(), 200);
         let id = String::from_utf8(answer.body).expect("the id");
         assert!(text.contains(&format!("x-correlation-id: {id}\r\n")), "{id} for {text}");
     }
-    assert_eq!(backend.connections.load(Ordering::SeqCst), 20);
+    assert_eq!(backend.connection_count.load(Ordering::SeqCst), 20);
 }
 
 /// Guards against backends whose connections broke being taken for restarted ones: kept cold, they all got
@@ -97,35 +98,39 @@
 fn backends_that_answer_a_probe_are_not_taken_for_restarted_ones() {
     const BACKENDS: usize = 4;
     let broken = Arc::new(AtomicUsize::new(0));
-    let fakes: Vec<Fake> = (0..BACKENDS)
+    let fakes: Vec<FakeServer> = (0..BACKENDS)
         .map(|_| {
             let (own, broken) = (AtomicUsize::new(0), broken.clone());
-            Fake::start(move |seen| {
+            FakeServer::start(move |seen| {
                 if seen.path().starts_with("/consulta") && own.fetch_add(1, Ordering::SeqCst) < 2 {
                     broken.fetch_add(1, Ordering::SeqCst);
-                    return Reaction::Break;
+                    return Reaction::Close;
                 }
                 ok("x")
             })
         })
         .collect();
-    let name = |(i, f): (usize, &Fake)| entry(&format!("s-{i}"), f.address, "SERVING");
-    let scene = Scene::new(&Start::default(), fakes.iter().enumerate().map(name).collect(), counter());
+    let name = |(i, f): (usize, &FakeServer)| entry(&format!("s-{i}"), f.address, "SERVING");
+    let scene = Fixture::new(
+        &GatewayOptions::default(),
+        fakes.iter().enumerate().map(name).collect(),
+        fake_counter(),
+    );
     let mut client = scene.gateway.client();
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     while broken.load(Ordering::SeqCst) < 2 * BACKENDS {
         assert!(Instant::now() < until, "each is asked until it has broken two");
         client.ask(&request("consulta", 7, 3000));
         std::thread::sleep(Duration::from_millis(2));
     }
     // All have been asked; more at once than cold backends would get.
-    fakes.iter().for_each(|f| while f.next().path() != "/load" {});
+    fakes.iter().for_each(|f| while f.next_request().path() != "/load" {});
     let mut clients: Vec<Client> = (0..8).map(|_| scene.gateway.client()).collect();
     let mut served = 0;
     for _ in 0..8 {
         std::thread::sleep(Duration::from_millis(20));
         clients.iter_mut().for_each(|c| c.send(&request("consulta", 7, 3000)));
-        let well = clients.iter_mut().filter_map(|c| c.answer()).filter(|a| a.status() == 200).count();
+        let well = clients.iter_mut().filter_map(|c| c.read_answer()).filter(|a| a.status() == 200).count();
         served += well;
     }
     assert!(served >= 60, "{served} of 64 are served");
@@ -140,7 +145,7 @@
     let (line, waiting) = (Mutex::new(0), AtomicUsize::new(0));
     let (calls, longest) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let (seen, most) = (calls.clone(), longest.clone());
-    let slow = Fake::start(move |_| {
+    let slow = FakeServer::start(move |_| {
         let now_waiting = waiting.fetch_add(1, Ordering::SeqCst) + 1;
         if seen.fetch_add(1, Ordering::SeqCst) >= LEARNING {
             most.fetch_max(now_waiting, Ordering::SeqCst);
@@ -151,10 +156,10 @@
         waiting.fetch_sub(1, Ordering::SeqCst);
         ok("1")
     });
-    let backend = Fake::start(|_| ok("x"));
-    let start = Start { rate: 0.2, burst: 2.0, ..Start::default() };
-    let scene = Scene::new(&start, serving(&[&backend]), slow);
-    let until = Instant::now() + LONG;
+    let backend = FakeServer::start(|_| ok("x"));
+    let start = GatewayOptions { rate: 0.2, burst: 2.0, ..GatewayOptions::default() };
+    let scene = Fixture::new(&start, serving_entries(&[&backend]), slow);
+    let until = Instant::now() + TEST_TIMEOUT;
     std::thread::scope(|threads| {
         for first in 0..24 {
             let (mut client, calls) = (scene.gateway.client(), &calls);
@@ -184,20 +189,20 @@
     let (release, held) = channel();
     let (held, calls) = (Mutex::new(held), AtomicUsize::new(0));
     // Nothing is answered in time; the first call's answer is late, and tells of much that others have used.
-    let counter = Fake::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
+    let counter = FakeServer::start(move |_| match calls.fetch_add(1, Ordering::SeqCst) {
         0 => {
-            held.lock().expect("unpoisoned").recv_timeout(LONG).expect("the test goes on");
+            held.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT).expect("the test goes on");
             ok("1000000")
         }
         _ => Reaction::Silence,
     });
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     // A part of a hundred units, of which few are used: nothing but that total stands in the way.
-    let start = Start { rate: 10.0, burst: 200.0, ..Start::default() };
-    let scene = Scene::new(&start, serving(&[&backend]), counter);
+    let start = GatewayOptions { rate: 10.0, burst: 200.0, ..GatewayOptions::default() };
+    let scene = Fixture::new(&start, serving_entries(&[&backend]), counter);
     let mut client = scene.gateway.client();
     (0..5).for_each(|_| assert_eq!(client.ask(&request("consulta", 3, 3000)).status(), 200));
-    scene.counter.next();
+    scene.counter.next_request();
     // Given up by now, or soon: other requests go on meanwhile.
     std::thread::sleep(Duration::from_millis(150));
     assert_eq!(client.ask(&request("consulta", 3, 3000)).status(), 200);
@@ -214,16 +219,17 @@
 /// comes on it next is anyone's.
 #[test]
 fn a_counter_s_connection_ends_with_an_answer_that_has_no_number() {
-    let backend = Fake::start(|_| ok("x"));
-    let start = Start { rate: 0.2, burst: 2.0, ..Start::default() };
-    let scene = Scene::new(&start, serving(&[&backend]), Fake::start(|_| ok("\u{7f}nothing")));
+    let backend = FakeServer::start(|_| ok("x"));
+    let start = GatewayOptions { rate: 0.2, burst: 2.0, ..GatewayOptions::default() };
+    let scene =
+        Fixture::new(&start, serving_entries(&[&backend]), FakeServer::start(|_| ok("\u{7f}nothing")));
     let mut client = scene.gateway.client();
     for customer in 0..6 {
         for _ in 0..2 {
             assert!(matches!(client.ask(&request("consulta", customer, 3000)).status(), 200 | 429));
         }
     }
-    let mut conns: Vec<usize> = scene.counter.seen.try_iter().map(|s| s.conn).collect();
+    let mut conns: Vec<usize> = scene.counter.requests.try_iter().map(|s| s.connection).collect();
     let calls = conns.len();
     conns.dedup();
     assert!(calls > 0 && conns.len() == calls, "{calls} calls on connections {conns:?}");
@@ -233,8 +239,8 @@
 /// owed an error or a close within 3 s of connecting.
 #[test]
 fn silent_and_slow_clients_are_let_go_in_time() {
-    let backend = Fake::start(|_| ok("x"));
-    let scene = Scene::new(&Start::default(), serving(&[&backend]), counter());
+    let backend = FakeServer::start(|_| ok("x"));
+    let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
     let began = Instant::now();
     let beginnings = [
         String::new(),
@@ -251,18 +257,18 @@
     assert_eq!(later.ask(&request("consulta", 7, 2000)).status(), 200);
     later.send("GET /consulta/00000000");
     for client in clients.iter_mut().chain([&mut later]) {
-        assert!(client.ended_or_failed());
+        assert!(client.closed_or_error());
     }
     assert!(began.elapsed() < Duration::from_millis(2_900), "{:?}", began.elapsed());
-    assert_eq!(backend.seen.try_iter().count(), 1);
+    assert_eq!(backend.requests.try_iter().count(), 1);
 }
 
 /// Guards against bodies that are read though they are too long, and against lengths that two readers
 /// read in two ways: a request hidden in a body must not be passed on.
 #[test]
 fn a_length_that_can_not_be_trusted_ends_the_connection() {
-    let backend = Fake::start(|_| ok("x"));
-    let scene = Scene::new(&Start::default(), serving(&[&backend]), counter());
+    let backend = FakeServer::start(|_| ok("x"));
+    let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
     let post = request("orden-nueva", 7, 2000);
     let hidden = format!("0\r\n\r\n{}", request("consulta", 8, 2000));
     let smuggle =
@@ -287,12 +293,12 @@
     for (text, status) in cases {
         let mut client = scene.gateway.client();
         client.send(&text);
-        let answer = client.answer().expect("an error");
+        let answer = client.read_answer().expect("an error");
         assert_eq!(answer.status(), status, "{text}");
-        assert!(client.ended_or_failed(), "still open after {text}");
+        assert!(client.closed_or_error(), "still open after {text}");
     }
     assert_eq!(scene.gateway.client().ask(&request("consulta", 7, 2000)).status(), 200);
-    assert_eq!(backend.seen.try_iter().count(), 1);
+    assert_eq!(backend.requests.try_iter().count(), 1);
 }
 
 /// Guards against the name of a request that is open being taken by another: backends would take one for
@@ -301,18 +307,18 @@
 fn the_id_of_an_open_request_is_not_let_in_again() {
     let (go, wait) = std::sync::mpsc::channel::<()>();
     let wait = std::sync::Mutex::new(wait);
-    let backend = Fake::start(move |_| {
-        let _ = wait.lock().expect("unpoisoned").recv_timeout(LONG);
+    let backend = FakeServer::start(move |_| {
+        let _ = wait.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
         ok("own")
     });
-    let scene = Scene::new(&Start::default(), serving(&[&backend]), counter());
+    let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
     let text = request("consulta", 7, 3000);
     let mut first = scene.gateway.client();
     first.send(&text);
-    backend.next();
+    backend.next_request();
     assert_eq!(scene.gateway.client().ask(&text).status(), 409);
     go.send(()).expect("the backend waits");
-    assert_eq!(first.answer().expect("an answer").body, b"own");
+    assert_eq!(first.read_answer().expect("an answer").body, b"own");
     go.send(()).expect("the backend waits");
     assert_eq!(scene.gateway.client().ask(&text).status(), 200, "over, it may be used again");
 }
@@ -321,8 +327,12 @@
 /// with far more of them than the limit, requests on new and on kept connections are served.
 #[test]
 fn silent_connections_make_way_and_descriptors_stay_within_the_limit() {
-    let backend = Fake::start(|_| ok("x"));
-    let scene = Scene::new(&Start { sockets: 256, ..Start::default() }, serving(&[&backend]), counter());
+    let backend = FakeServer::start(|_| ok("x"));
+    let scene = Fixture::new(
+        &GatewayOptions { sockets: 256, ..GatewayOptions::default() },
+        serving_entries(&[&backend]),
+        fake_counter(),
+    );
     let mut kept = scene.gateway.client();
     assert_eq!(kept.ask(&request("consulta", 7, 2000)).status(), 200);
     let mut silent = Vec::new();
@@ -339,9 +349,13 @@
 /// turned away, what is small goes through, and what is given back can be had again.
 #[test]
 fn bodies_in_hand_stay_within_their_part_of_the_memory() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     // 256 KiB for bodies: four of the longest.
-    let scene = Scene::new(&Start { memory_mb: 2, ..Start::default() }, serving(&[&backend]), counter());
+    let scene = Fixture::new(
+        &GatewayOptions { memory_mb: 2, ..GatewayOptions::default() },
+        serving_entries(&[&backend]),
+        fake_counter(),
+    );
     let long = request("orden-nueva", 7, 3000)
         .replace("content-length: 4\r\n\r\n{42}", "content-length: 65536\r\n\r\n");
     let begun: Vec<Client> = (0..8)
@@ -351,7 +365,7 @@
             client
         })
         .collect();
-    let refused = begun.into_iter().filter_map(|mut c| c.answer()).collect::<Vec<_>>();
+    let refused = begun.into_iter().filter_map(|mut c| c.read_answer()).collect::<Vec<_>>();
     assert!(refused.len() >= 4 && refused.iter().all(|a| a.status() == 503), "{refused:?}");
     let whole = format!("{long}{}", "y".repeat(65536));
     assert_eq!(scene.gateway.client().ask(&whole).status(), 200);
@@ -363,24 +377,24 @@
 fn idle_connections_that_break_are_kept_shorter() {
     let all = std::sync::Barrier::new(2);
     let count = AtomicUsize::new(0);
-    let backend = Fake::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
+    let backend = FakeServer::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
         0 | 1 => {
             all.wait();
             ok("x")
         }
-        2 => Reaction::Break,
+        2 => Reaction::Close,
         _ => ok("x"),
     });
-    let scene = Scene::new(&Start::default(), serving(&[&backend]), counter());
+    let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
     let mut clients = [scene.gateway.client(), scene.gateway.client()];
     // Two at once need two connections, and leave both idle.
     clients.iter_mut().for_each(|c| c.send(&request("orden-nueva", 7, 2000)));
-    clients.iter_mut().for_each(|c| assert_eq!(c.answer().expect("an answer").status(), 200));
+    clients.iter_mut().for_each(|c| assert_eq!(c.read_answer().expect("an answer").status(), 200));
     // One that was in use just now breaks for another reason.
     std::thread::sleep(Duration::from_millis(1_100));
     assert_eq!(clients[0].ask(&request("orden-nueva", 7, 2000)).status(), 504);
     // The other is let go well before the 18 s that the settings give it.
-    backend.ended.recv_timeout(Duration::from_secs(5)).expect("the other connection is closed");
+    backend.closed_by_peer.recv_timeout(Duration::from_secs(5)).expect("the other connection is closed");
     assert_eq!(clients[0].ask(&request("orden-nueva", 7, 2000)).status(), 200);
 }
 
@@ -388,46 +402,46 @@
 /// gateway, or that keep it from its start, a new configuration or its end.
 #[test]
 fn a_thousand_backends_and_hundreds_of_peers_fit_the_smallest_gateway() {
-    let backend = Fake::start(|_| ok("x"));
+    let backend = FakeServer::start(|_| ok("x"));
     let name = |n: u32| format!("s-{n:08x}");
     let entries = |from: u32| (from..from + 1024).map(|n| entry(&name(n), backend.address, "SERVING"));
-    let start = Start {
+    let start = GatewayOptions {
         known: Some(list(1, true, &entries(0).collect::<Vec<_>>())),
         memory_mb: 32,
-        peers: 350,
+        peer_count: 350,
         changes: &[(r#""balancers":2"#, r#""balancers":350"#)],
-        ..Start::default()
+        ..GatewayOptions::default()
     };
-    let mut scene = Scene::new(&start, entries(0).collect(), counter());
+    let mut scene = Fixture::new(&start, entries(0).collect(), fake_counter());
     let mut client = scene.gateway.client();
-    assert_eq!(scene.gateway.figures()["known_backends"], 1024);
+    assert_eq!(scene.gateway.metrics()["known_backends"], 1024);
     assert_eq!(client.ask(&request("consulta", 1, 2000)).status(), 200);
 
-    let (discovery, counter) = (Discovery::start(entries(512).collect()), counter());
-    scene.gateway.reload(discovery.fake.address, counter.address);
-    assert_eq!(discovery.fake.next().path(), "/v1/servers");
-    discovery.settled();
-    assert_eq!(scene.gateway.figures()["known_backends"], 1024);
+    let (discovery, counter) = (FakeDiscovery::start(entries(512).collect()), fake_counter());
+    scene.gateway.reload(discovery.server.address, counter.address);
+    assert_eq!(discovery.server.next_request().path(), "/v1/servers");
+    discovery.wait_until_list_received();
+    assert_eq!(scene.gateway.metrics()["known_backends"], 1024);
     for customer in 10..40 {
         assert_eq!(client.ask(&request("consulta", customer, 2000)).status(), 200);
     }
     // All but one of those left drain, one after another, and it alone serves.
     let draining = (512..1535).map(|n| entry(&name(n), backend.address, "DRAINING"));
     discovery.set(draining.chain([entry(&name(1535), backend.address, "SERVING")]).collect());
-    discovery.settled();
-    assert_eq!(scene.gateway.figures()["skipped_backends"], 1023);
+    discovery.wait_until_list_received();
+    assert_eq!(scene.gateway.metrics()["skipped_backends"], 1023);
     assert_eq!(client.ask(&request("consulta", 50, 2000)).status(), 200);
-    assert!(scene.gateway.memory_mb() < 32, "{} MB", scene.gateway.memory_mb());
+    assert!(scene.gateway.peak_memory_mb() < 32, "{} MB", scene.gateway.peak_memory_mb());
     let open = std::fs::read_dir(format!("/proc/{}/fd", scene.gateway.pid())).expect("a list").count();
     assert!(open < 256, "{open} descriptors");
     scene.gateway.terminate();
-    assert!(scene.gateway.wait().success());
+    assert!(scene.gateway.wait_for_exit().success());
 }
 
 /// Guards against a start that goes on, crashes or says nothing where the configuration can't be used.
 #[test]
 fn a_configuration_that_can_not_be_used_is_one_plain_line_and_no_start() {
-    let (discovery, counter) = (free_port(), free_port());
+    let (discovery, counter) = (unused_address(), unused_address());
     let broken: [&[(&str, &str)]; 6] = [
         &[(r#""balancers":2"#, r#""balancers":0"#)],
         &[(r#""aim_us":800000"#, r#""aim_us":0"#)],
@@ -437,8 +451,9 @@
         &[(r#"{"balancers""#, r#"nothing"balancers""#)],
     ];
     for changes in broken {
-        let mut gateway = Gateway::launch(&Start { changes, ..Start::default() }, discovery, counter);
-        let status = gateway.wait();
+        let mut gateway =
+            Gateway::launch(&GatewayOptions { changes, ..GatewayOptions::default() }, discovery, counter);
+        let status = gateway.wait_for_exit();
         let log = gateway.log();
         assert!(!status.success() && status.code().is_some(), "{changes:?}: {status}");
         assert_eq!(log.lines().count(), 1, "{changes:?}: {log}");
