--- a/node/tests/connections.rs
+++ b/node/tests/connections.rs
@@ -1,4 +1,5 @@
-//! Connections to backends whose ends cross with other events. Each test makes one bad order happen every time.
+//! Connections to backends that end or come up while other events happen. Each test forces one unfavourable order of
+//! events every time.
 
 mod common;
 
@@ -8,37 +9,39 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-fn scene(entries: Vec<String>, changes: &'static [(&'static str, &'static str)]) -> Fixture {
+fn fixture(entries: Vec<String>, changes: &'static [(&'static str, &'static str)]) -> Fixture {
     Fixture::new(&GatewayOptions { changes, ..GatewayOptions::default() }, entries, fake_counter())
 }
 
-/// A backend that answers a request with a name once it is told to.
-fn holding(name: &'static str) -> (FakeServer, Sender<()>) {
-    let (go, wait) = channel();
-    let wait = Mutex::new(wait);
-    let fake = FakeServer::start(move |_| {
-        wait.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT).expect("the test goes on");
+/// Starts a backend that answers each request with its name, once the test sends a signal for it.
+fn backend_with_held_answers(name: &'static str) -> (FakeServer, Sender<()>) {
+    let (release, released) = channel();
+    let released = Mutex::new(released);
+    let backend = FakeServer::start(move |_| {
+        released.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT).expect("the test goes on");
         ok(name)
     });
-    (fake, go)
+    (backend, release)
 }
 
-const LATE: &[(&str, &str)] = &[("\"connect_timeout_us\":250000", "\"connect_timeout_us\":5000000")];
+/// Raises the time limit on connecting to a backend from 250 ms to 5 s.
+const LONG_CONNECT_TIMEOUT: &[(&str, &str)] =
+    &[("\"connect_timeout_us\":250000", "\"connect_timeout_us\":5000000")];
 
-/// Guards against a connection of the process before being used for the one that has come in its place: an
-/// attempt ends well after its backend was told to have restarted or moved, and its connection is done with.
+/// Guards against reusing a connection to an earlier process of a backend: an attempt succeeds after discovery has
+/// reported that its backend restarted or moved, and its connection must not be used for later attempts.
 #[test]
 fn a_connection_from_before_a_restart_is_not_used_after_it() {
     for moves in [false, true] {
-        let ((old, go), new) = (holding("old"), FakeServer::start(|_| ok("new")));
-        let scene = scene(serving_entries(&[&old]), &[]);
-        let (mut first, mut second) = (scene.gateway.client(), scene.gateway.client());
+        let ((old, release), new) = (backend_with_held_answers("old"), FakeServer::start(|_| ok("new")));
+        let fixture = fixture(serving_entries(&[&old]), &[]);
+        let (mut first, mut second) = (fixture.gateway.client(), fixture.gateway.client());
         first.send(&request("orden-nueva", 7, 3000));
         assert_eq!(old.next_request().connection, 0);
-        let (address, since) = if moves { (new.address, 0) } else { (old.address, 1) };
-        scene.discovery.set(vec![entry_since("s-0", address, "SERVING", since)]);
-        scene.discovery.wait_until_list_received();
-        go.send(()).expect("the backend waits");
+        let (address, since_ms) = if moves { (new.address, 0) } else { (old.address, 1) };
+        fixture.discovery.set(vec![entry_since("s-0", address, "SERVING", since_ms)]);
+        fixture.discovery.wait_until_list_received();
+        release.send(()).expect("the backend waits");
         assert_eq!(first.read_answer().expect("an answer").body, b"old");
         second.send(&request("orden-nueva", 7, 3000));
         if moves {
@@ -47,70 +50,80 @@
             assert_eq!(
                 old.next_request().connection,
                 1,
-                "the old process's connection is used for the new one"
+                "a connection to the old process is used for the new one"
             );
         }
     }
 }
 
-/// Guards against the same while a connection is being made: the one that comes up leads to the old place.
+/// Guards against using a connection that was begun before the backend moved and that is established afterwards: it
+/// leads to the old address.
 #[test]
 fn a_connection_to_where_a_backend_no_longer_is_carries_nothing() {
     let (old, new) = (FullBacklogListener::start(), FakeServer::start(|_| ok("new")));
-    let scene = scene(vec![entry("s-0", old.address, "SERVING")], LATE);
-    let mut client = scene.gateway.client();
+    let fixture = fixture(vec![entry("s-0", old.address, "SERVING")], LONG_CONNECT_TIMEOUT);
+    let mut client = fixture.gateway.client();
     client.send(&request("orden-nueva", 7, 4000));
-    while scene.gateway.metrics()["in_progress"] != 1 {}
-    scene.discovery.set(vec![entry("s-0", new.address, "SERVING")]);
-    scene.discovery.wait_until_list_received();
+    while fixture.gateway.metrics()["in_progress"] != 1 {}
+    fixture.discovery.set(vec![entry("s-0", new.address, "SERVING")]);
+    fixture.discovery.wait_until_list_received();
     let old = old.start_accepting(|_| ok("old"));
     assert_eq!(client.read_answer().expect("an answer").body, b"new");
     assert_eq!(old.requests.try_iter().count(), 0);
 }
 
-/// Guards against a backend that is told of time that has passed while its connection came up.
+/// Guards against telling a backend a remaining time that does not count the time spent connecting to it.
 #[test]
 fn a_late_connection_s_time_is_not_told_as_left() {
-    // Where this machine is busy elsewhere, the connection may be begun after the other side has opened: then anew.
+    // On a busy machine the connection attempt may begin after the listener has started to accept: then try again.
     for _ in 0..20 {
-        let late = FullBacklogListener::start();
-        let scene = scene(vec![entry("s-0", late.address, "SERVING")], LATE);
-        let began = Instant::now();
-        let mut client = scene.gateway.client();
+        let listener = FullBacklogListener::start();
+        let fixture = fixture(vec![entry("s-0", listener.address, "SERVING")], LONG_CONNECT_TIMEOUT);
+        let started = Instant::now();
+        let mut client = fixture.gateway.client();
         client.send(&request("orden-nueva", 7, 4000));
-        while scene.gateway.metrics()["in_progress"] != 1 {}
-        let late = late.start_accepting(|_| ok("x"));
+        while fixture.gateway.metrics()["in_progress"] != 1 {}
+        let backend = listener.start_accepting(|_| ok("x"));
         assert_eq!(client.read_answer().expect("an answer").status(), 200);
-        let seen = late.next_request();
-        let left = seen.header("x-time-left-ms").and_then(|v| v.parse().ok()).expect("a time");
-        let gone = seen.received_at.duration_since(began);
-        assert!(Duration::from_millis(left) + gone < Duration::from_millis(4050), "{left} ms after {gone:?}");
-        if gone > Duration::from_millis(100) {
+        let sent = backend.next_request();
+        let left_ms = sent.header("x-time-left-ms").and_then(|v| v.parse().ok()).expect("a time");
+        let elapsed = sent.received_at.duration_since(started);
+        assert!(
+            Duration::from_millis(left_ms) + elapsed < Duration::from_millis(4050),
+            "{left_ms} ms after {elapsed:?}"
+        );
+        if elapsed > Duration::from_millis(100) {
             return;
         }
     }
-    panic!("it came up at once, each time");
+    panic!("the connection was established at once, each time");
 }
 
-/// Guards against a second answer to one request that is taken for the answer to the next: it comes up to 4 ms
-/// after the first, on a connection that looked well when it was used again.
+/// Guards against taking a second answer to one request for the answer to the next: it arrives up to 4 ms after the
+/// first, on a connection that looked idle when it was reused.
 #[test]
 fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
-    const LATE: Duration = Duration::from_millis(4);
-    let last: Mutex<HashMap<usize, (String, Instant)>> = Mutex::default();
-    let backend = FakeServer::start(move |seen| {
-        let id = seen.header("x-correlation-id").expect("an id").to_owned();
-        let mut last = last.lock().expect("unpoisoned");
-        let before = last.insert(seen.connection, (id.clone(), Instant::now()));
-        // On its way as this request was written.
-        let second = before.filter(|(_, at)| at.elapsed() < LATE).map(|(id, _)| answer("200 OK", "", &id));
-        Reaction::Answer(second.unwrap_or_default() + &answer("200 OK", "", &id))
+    const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(4);
+    // The last request's correlation id and time, by connection.
+    let last_requests: Mutex<HashMap<usize, (String, Instant)>> = Mutex::default();
+    let backend = FakeServer::start(move |received| {
+        let id = received.header("x-correlation-id").expect("an id").to_owned();
+        let mut last_requests = last_requests.lock().expect("unpoisoned");
+        let previous = last_requests.insert(received.connection, (id.clone(), Instant::now()));
+        // Arrives as if it had been on its way when this request was written.
+        let second_answer = previous
+            .filter(|(_, at)| at.elapsed() < SECOND_ANSWER_DELAY)
+            .map(|(id, _)| answer("200 OK", "", &id));
+        Reaction::Answer(second_answer.unwrap_or_default() + &answer("200 OK", "", &id))
     });
-    let scene = scene(serving_entries(&[&backend]), &[]);
-    let mut client = scene.gateway.client();
+    let fixture = fixture(serving_entries(&[&backend]), &[]);
+    let mut client = fixture.gateway.client();
     for _ in 0..40 {
         let text = request("orden-nueva", 7, 3000);
-        let got = String::from_utf8(client.ask(&text).body).expect("an id");
-        assert!(text.contains(&format!("x-correlation-id: {got}\r\n")), "the answer to {got} for {text}");
+        let answered_id = String::from_utf8(client.ask(&text).body).expect("an id");
+        assert!(
+            text.contains(&format!("x-correlation-id: {answered_id}\r\n")),
+            "the answer to {answered_id} for {text}"
+        );
     }
 }
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -1,5 +1,5 @@
-//! The counter client, on loopback sockets, between calls, answers and moves that cross. Each test makes one bad
-//! order happen every time.
+//! The counter client on loopback sockets: calls, answers and address changes that overlap. Each test forces one
+//! unfavourable order of events every time.
 
 mod common;
 
@@ -18,61 +18,68 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::{sleep, timeout};
 
-/// The time of a call that is to be overdue; a busy machine stands still for less.
-const SHORT: Duration = Duration::from_millis(400);
-const POISON: &str = "1000000";
+/// The time limit of a call that is to be overdue. A busy machine pauses for less.
+const SHORT_TIMEOUT: Duration = Duration::from_millis(400);
+/// The total in answers that must not be used for any call.
+const WRONG_TOTAL: &str = "1000000";
 
-/// What the client was told of a call, in time or late.
+/// The end of a call, as reported to the observer: before its time limit, or after it was overdue.
 #[derive(Debug, PartialEq, Clone, Copy)]
-enum Told {
-    Now(CounterResult),
+enum CallEnd {
+    InTime(CounterResult),
     Late(CounterResult),
 }
-use Told::{Late, Now};
+use CallEnd::{InTime, Late};
 
+/// Sends each call's key and end to the test.
 #[derive(Clone)]
-struct Ends(UnboundedSender<(u64, Told)>);
+struct EndReporter(UnboundedSender<(u64, CallEnd)>);
 
-impl CallObserver for Ends {
-    fn call_ended(&self, name: CounterKey, result: CounterResult, _: Micros) {
-        let _ = self.0.send((name.0, Now(result)));
+impl CallObserver for EndReporter {
+    fn call_ended(&self, key: CounterKey, result: CounterResult, _: Micros) {
+        let _ = self.0.send((key.0, InTime(result)));
     }
-    fn overdue_call_ended(&self, name: CounterKey, _: f64, result: CounterResult) {
-        let _ = self.0.send((name.0, Late(result)));
+    fn overdue_call_ended(&self, key: CounterKey, _: f64, result: CounterResult) {
+        let _ = self.0.send((key.0, Late(result)));
     }
 }
 
+/// A counter client with at most 20 connections.
 struct Client {
     counter: Rc<Counter>,
-    ends: Ends,
-    what: String,
-    told: UnboundedReceiver<(u64, Told)>,
+    observer: EndReporter,
+    /// The case under test, for messages.
+    case: String,
+    ends: UnboundedReceiver<(u64, CallEnd)>,
 }
 
 impl Client {
-    /// One whose calls have so long.
-    fn within(limit: Duration, address: std::net::SocketAddr, what: &str) -> Self {
-        let limits = caperwind::CounterSettings { timeout: limit.as_micros() as u64, call_price: 0.0 };
-        let ((ends, told), counter) = (unbounded_channel(), Counter::new(Some(address), Some(limits), 20));
-        Client { counter, ends: Ends(ends), what: what.to_owned(), told }
+    /// Creates a client whose calls have this time limit.
+    fn with_timeout(limit: Duration, address: std::net::SocketAddr, case: &str) -> Self {
+        let settings = caperwind::CounterSettings { timeout: limit.as_micros() as u64, call_price: 0.0 };
+        let ((sender, ends), counter) =
+            (unbounded_channel(), Counter::new(Some(address), Some(settings), 20));
+        Client { counter, observer: EndReporter(sender), case: case.to_owned(), ends }
     }
 
-    fn call(&self, name: u64) {
-        self.counter.call(self.ends.clone(), Clock::start(), CounterKey(name), 1.0, 4_000_000);
+    /// Begins a call that adds one unit.
+    fn call(&self, key: u64) {
+        self.counter.call(self.observer.clone(), Clock::start(), CounterKey(key), 1.0, 4_000_000);
     }
 
-    async fn next(&mut self) -> (u64, Told) {
-        timeout(TEST_TIMEOUT, self.told.recv())
+    /// Waits for the next end of a call.
+    async fn next_end(&mut self) -> (u64, CallEnd) {
+        timeout(TEST_TIMEOUT, self.ends.recv())
             .await
-            .unwrap_or_else(|_| panic!("no end of {}", self.what))
+            .unwrap_or_else(|_| panic!("no call ends: {}", self.case))
             .expect("an end")
     }
 
-    /// One call, to its end.
-    async fn ask(&mut self, name: u64) -> Told {
-        self.call(name);
-        let (of, end) = self.next().await;
-        assert_eq!(of, name, "{end:?}");
+    /// Makes a call and waits for its end.
+    async fn call_and_wait(&mut self, key: u64) -> CallEnd {
+        self.call(key);
+        let (ended_key, end) = self.next_end().await;
+        assert_eq!(ended_key, key, "{end:?}");
         end
     }
 }
@@ -82,41 +89,43 @@
     runtime.expect("a runtime").block_on(test)
 }
 
-/// The next of what a fake tells, while the client goes on.
-async fn come<T>(from: &Receiver<T>) -> T {
-    let until = Instant::now() + TEST_TIMEOUT;
+/// Waits for the next item from a fake server's channel while the client's tasks go on.
+async fn receive<T>(channel: &Receiver<T>) -> T {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Ok(told) = from.try_recv() {
-            return told;
+        if let Ok(item) = channel.try_recv() {
+            return item;
         }
-        assert!(Instant::now() < until, "it does not come");
+        assert!(Instant::now() < deadline, "nothing is received");
         sleep(Duration::from_millis(1)).await;
     }
 }
 
-fn total(body: &str) -> String {
+/// Formats a counter's answer with this total.
+fn total_answer(body: &str) -> String {
     answer("200 OK", "", body)
 }
 
-/// A counter that holds each call until it is told to answer, with the call's own name as the total.
-fn holding() -> (FakeServer, Sender<()>) {
-    let (go, wait) = channel();
-    let wait = Mutex::new(wait);
-    let fake = FakeServer::start(move |seen| {
-        let _ = wait.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
-        named(seen)
+/// Starts a counter that answers each call with the call's key as the total, once the test sends a signal for it.
+fn counter_with_held_answers() -> (FakeServer, Sender<()>) {
+    let (release, released) = channel();
+    let released = Mutex::new(released);
+    let counter = FakeServer::start(move |call| {
+        let _ = released.lock().expect("unpoisoned").recv_timeout(TEST_TIMEOUT);
+        answer_with_key(call)
     });
-    (fake, go)
+    (counter, release)
 }
 
-/// Answers with the call's name.
-fn named(seen: &HttpMessage) -> Reaction {
-    let name = seen.path().trim_start_matches("/v2/numbers/").split('?').next().expect("a name").to_owned();
-    ok(&u64::from_str_radix(&name, 16).expect("a number").to_string())
+/// Answers a call with its key as the total.
+fn answer_with_key(call: &HttpMessage) -> Reaction {
+    let key = call.path().trim_start_matches("/v2/numbers/").split('?').next().expect("a key").to_owned();
+    ok(&u64::from_str_radix(&key, 16).expect("a number").to_string())
 }
 
-/// Guards against a total that nobody told, an amount lost or added twice, and a connection used on that is no longer
-/// in step: what comes back, what the call counts as, and whether the next call goes over the same connection.
+/// Guards against a total that the counter did not send, an amount lost or added twice, and the reuse of a connection
+/// on which answers no longer match calls. Each case has the counter's reaction, the ends that the client reports for
+/// the call, and whether the next call uses the same connection.
 #[test]
 fn an_answer_counts_as_what_the_protocol_says() {
     use CounterResult::{NotAdded, Overdue, Total, Unanswered};
@@ -124,278 +133,308 @@
     let no_length = |body: &str| format!("HTTP/1.1 200 OK\r\n\r\n{body}");
     let chunked = |rest: &str| format!("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n{rest}");
     let split = |text: &str| text.bytes().map(|b| (0, char::from(b).to_string())).collect::<Vec<_>>();
-    let more = (40, "1\r\n0\r\n".to_owned());
-    let endless = std::iter::once((0, chunked("1\r\n7\r\n"))).chain(vec![more; 60]).collect();
-    let cases: Vec<(&str, Reaction, Vec<Told>, bool)> = vec![
-        ("in pieces", Pieces(split(&total("7"))), vec![Now(Total(7.0))], true),
-        ("in chunks", Answer(chunked("2\r\n7.\r\n1\r\n5\r\n0\r\n\r\n")), vec![Now(Total(7.5))], true),
-        ("late", Answer(total("7")), vec![Now(Overdue), Late(Total(7.0))], true),
-        ("turned away late", Answer(answer("503 No", "", "x")), vec![Now(Overdue), Late(NotAdded)], true),
-        ("turned away", Answer(answer("503 No", "", "no")), vec![Now(NotAdded)], true),
-        ("no such call", Answer(answer("404 No", "", "")), vec![Now(NotAdded)], true),
-        ("an error", Answer(answer("500 No", "", "7")), vec![Now(Unanswered)], false),
-        ("broken", Close, vec![Now(Unanswered)], false),
-        ("reset", PiecesAndReset(vec![]), vec![Now(Unanswered)], false),
+    let another_chunk = (40, "1\r\n0\r\n".to_owned());
+    let endless = std::iter::once((0, chunked("1\r\n7\r\n"))).chain(vec![another_chunk; 60]).collect();
+    let cases: Vec<(&str, Reaction, Vec<CallEnd>, bool)> = vec![
+        ("in pieces", Pieces(split(&total_answer("7"))), vec![InTime(Total(7.0))], true),
+        ("in chunks", Answer(chunked("2\r\n7.\r\n1\r\n5\r\n0\r\n\r\n")), vec![InTime(Total(7.5))], true),
+        ("late", Answer(total_answer("7")), vec![InTime(Overdue), Late(Total(7.0))], true),
+        ("rejected late", Answer(answer("503 No", "", "x")), vec![InTime(Overdue), Late(NotAdded)], true),
+        ("rejected", Answer(answer("503 No", "", "no")), vec![InTime(NotAdded)], true),
+        ("not found", Answer(answer("404 No", "", "")), vec![InTime(NotAdded)], true),
+        ("server error", Answer(answer("500 No", "", "7")), vec![InTime(Unanswered)], false),
+        ("closed", Close, vec![InTime(Unanswered)], false),
+        ("reset", PiecesAndReset(vec![]), vec![InTime(Unanswered)], false),
         (
-            "reset in its body",
-            PiecesAndReset(vec![(0, total("75")[..39].to_owned())]),
-            vec![Now(Unanswered)],
+            "reset in the body",
+            PiecesAndReset(vec![(0, total_answer("75")[..39].to_owned())]),
+            vec![InTime(Unanswered)],
             false,
         ),
         (
             "ended before its length",
             AnswerAndClose("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n7".to_owned()),
-            vec![Now(Unanswered)],
+            vec![InTime(Unanswered)],
             false,
         ),
-        ("up to the end", AnswerAndClose(no_length("7")), vec![Now(Total(7.0))], false),
+        ("no length, ended by a close", AnswerAndClose(no_length("7")), vec![InTime(Total(7.0))], false),
         (
-            "up to a reset",
+            "no length, ended by a reset",
             PiecesAndReset(vec![(0, no_length("7")), (30, String::new())]),
-            vec![Now(Unanswered)],
+            vec![InTime(Unanswered)],
+            false,
+        ),
+        ("silence", Silence, vec![InTime(Overdue), Late(Unanswered)], false),
+        ("endless", Pieces(endless), vec![InTime(Overdue), Late(Unanswered)], false),
+        (
+            "the greatest length",
+            Answer(total_answer(&format!("{:01024}", 7))),
+            vec![InTime(Total(7.0))],
+            true,
+        ),
+        ("too long", Answer(total_answer(&format!("{:01025}", 7))), vec![InTime(Unanswered)], false),
+        ("not a number", Answer(total_answer("\u{7f}")), vec![InTime(Unanswered)], false),
+        ("empty", Answer(total_answer("")), vec![InTime(Unanswered)], false),
+        ("an infinite number", Answer(total_answer("inf")), vec![InTime(Unanswered)], false),
+        (
+            "two answers",
+            Answer(total_answer("7") + &total_answer(WRONG_TOTAL)),
+            vec![InTime(Total(7.0))],
+            false,
+        ),
+        (
+            "one and a half answers",
+            Answer(total_answer("7") + &total_answer(WRONG_TOTAL)[..20]),
+            vec![InTime(Total(7.0))],
             false,
         ),
-        ("silence", Silence, vec![Now(Overdue), Late(Unanswered)], false),
-        ("never ends", Pieces(endless), vec![Now(Overdue), Late(Unanswered)], false),
-        ("as long as may be", Answer(total(&format!("{:01024}", 7))), vec![Now(Total(7.0))], true),
-        ("too long", Answer(total(&format!("{:01025}", 7))), vec![Now(Unanswered)], false),
-        ("no number", Answer(total("\u{7f}")), vec![Now(Unanswered)], false),
-        ("nothing", Answer(total("")), vec![Now(Unanswered)], false),
-        ("no finite number", Answer(total("inf")), vec![Now(Unanswered)], false),
-        ("twice", Answer(total("7") + &total(POISON)), vec![Now(Total(7.0))], false),
-        ("twice in one and a half", Answer(total("7") + &total(POISON)[..20]), vec![Now(Total(7.0))], false),
     ];
     run(async {
         let mut tasks = Vec::new();
-        for (what, reaction, wanted, again) in cases {
-            let (go, wait) = channel::<()>();
-            let reactions = Mutex::new((wait, vec![Silence, ok("8"), reaction]));
-            let late = what.contains("late");
-            let fake = FakeServer::start(move |_| {
-                let (wait, reactions) = &mut *reactions.lock().expect("unpoisoned");
-                if late && reactions.len() == 3 {
-                    let _ = wait.recv_timeout(TEST_TIMEOUT);
+        for (name, reaction, expected, reused) in cases {
+            let (release, released) = channel::<()>();
+            let reactions = Mutex::new((released, vec![Silence, ok("8"), reaction]));
+            // The answers of these cases are held until the call is overdue.
+            let held = name.contains("late");
+            let counter = FakeServer::start(move |_| {
+                let (released, reactions) = &mut *reactions.lock().expect("unpoisoned");
+                if held && reactions.len() == 3 {
+                    let _ = released.recv_timeout(TEST_TIMEOUT);
                 }
                 reactions.pop().unwrap_or(Silence)
             });
             tasks.push(tokio::task::spawn_local(async move {
-                let limit = if wanted.len() == 1 { TEST_TIMEOUT } else { SHORT };
-                let mut client = Client::within(limit, fake.address, what);
-                let mut ends = vec![client.ask(1).await];
-                go.send(()).expect("it waits");
-                while ends.len() < wanted.len() {
-                    ends.push(client.next().await.1);
+                let limit = if expected.len() == 1 { TEST_TIMEOUT } else { SHORT_TIMEOUT };
+                let mut client = Client::with_timeout(limit, counter.address, name);
+                let mut ends = vec![client.call_and_wait(1).await];
+                release.send(()).expect("the counter waits");
+                while ends.len() < expected.len() {
+                    ends.push(client.next_end().await.1);
                 }
-                assert_eq!(ends, wanted, "{what}");
+                assert_eq!(ends, expected, "{name}");
                 sleep(CONNECTION_REUSE_DELAY).await;
-                let mut second = client.ask(2).await;
-                if second == Now(Overdue) {
-                    second = client.next().await.1;
+                let mut next_end = client.call_and_wait(2).await;
+                if next_end == InTime(Overdue) {
+                    next_end = client.next_end().await.1;
                 }
-                assert!(matches!(second, Now(Total(8.0)) | Late(Total(8.0))), "{what}: {second:?}");
-                assert_eq!(fake.connection_count.load(Ordering::SeqCst), if again { 1 } else { 2 }, "{what}");
+                assert!(matches!(next_end, InTime(Total(8.0)) | Late(Total(8.0))), "{name}: {next_end:?}");
+                assert_eq!(
+                    counter.connection_count.load(Ordering::SeqCst),
+                    if reused { 1 } else { 2 },
+                    "{name}"
+                );
             }));
         }
         for task in tasks {
-            task.await.expect("the case holds");
+            task.await.expect("the case passes");
         }
     });
 }
 
-/// Guards against a second answer to one call that is taken for the next call's: it comes up to 8 ms after the first,
-/// while the next call is out on the connection, or while that is idle.
+/// Guards against taking a second answer to one call for the answer to the next: it arrives up to 8 ms after the first,
+/// while the next call is in flight on the connection, or while the connection is idle.
 #[test]
 fn a_second_answer_is_no_other_call_s_total() {
-    const LATE: Duration = Duration::from_millis(8);
+    const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
     run(async {
-        let last: Mutex<HashMap<usize, Instant>> = Mutex::default();
-        let out = FakeServer::start(move |seen| {
-            let Reaction::Answer(own) = named(seen) else { return Reaction::Close };
-            let before = last.lock().expect("unpoisoned").insert(seen.connection, Instant::now());
-            // On its way as this call was written.
-            let second = before.filter(|at| at.elapsed() < LATE).map(|_| total(POISON));
-            Reaction::Answer(second.unwrap_or_default() + &own)
+        let last_calls: Mutex<HashMap<usize, Instant>> = Mutex::default();
+        let second_while_in_flight = FakeServer::start(move |call| {
+            let Reaction::Answer(own_answer) = answer_with_key(call) else { return Reaction::Close };
+            let previous = last_calls.lock().expect("unpoisoned").insert(call.connection, Instant::now());
+            // Arrives as if it had been on its way when this call was written.
+            let second_answer =
+                previous.filter(|at| at.elapsed() < SECOND_ANSWER_DELAY).map(|_| total_answer(WRONG_TOTAL));
+            Reaction::Answer(second_answer.unwrap_or_default() + &own_answer)
         });
-        let idle = FakeServer::start(|seen| {
-            let Reaction::Answer(own) = named(seen) else { return Reaction::Close };
-            Reaction::Pieces(vec![(0, own), (3, total(POISON))])
+        let second_while_idle = FakeServer::start(|call| {
+            let Reaction::Answer(own_answer) = answer_with_key(call) else { return Reaction::Close };
+            Reaction::Pieces(vec![(0, own_answer), (3, total_answer(WRONG_TOTAL))])
         });
-        for (fake, calls, pause) in [(out, 40, 0), (idle, 4, 300)] {
-            let mut client = Client::within(TEST_TIMEOUT, fake.address, "second answers");
-            for name in 1..calls {
+        for (counter, calls, pause_ms) in [(second_while_in_flight, 40, 0), (second_while_idle, 4, 300)] {
+            let mut client = Client::with_timeout(TEST_TIMEOUT, counter.address, "second answers");
+            for key in 1..calls {
                 assert_eq!(
-                    client.ask(name).await,
-                    Now(CounterResult::Total(name as f64)),
-                    "{pause} ms between calls"
+                    client.call_and_wait(key).await,
+                    InTime(CounterResult::Total(key as f64)),
+                    "{pause_ms} ms between calls"
                 );
-                sleep(Duration::from_millis(pause)).await;
+                sleep(Duration::from_millis(pause_ms)).await;
             }
         }
     });
 }
 
-/// Guards against more connections than the counter holds, and against calls that find no place for good: with all
-/// places taken by silence, and with calls that follow so closely that no connection may be used again yet.
+/// Guards against more connections than the counter allows, and against calls that never get one: with all connections
+/// waiting for a silent counter, and with calls that follow so closely that no connection may be reused yet.
 #[test]
 fn places_are_bounded_and_come_free() {
     run(async {
         let silent = FakeServer::start(|_| Reaction::Silence);
-        let mut client = Client::within(SHORT, silent.address, "all silent");
+        let mut client = Client::with_timeout(SHORT_TIMEOUT, silent.address, "all silent");
         (0..40).for_each(|n| client.call(n));
         let mut ends = Vec::new();
         while ends.len() < 60 {
-            ends.push(client.next().await.1);
+            ends.push(client.next_end().await.1);
         }
         let count = |end| ends.iter().filter(|e| **e == end).count();
-        let (away, overdue) = (count(Now(CounterResult::NotAdded)), count(Now(CounterResult::Overdue)));
-        assert_eq!((away, overdue, count(Late(CounterResult::Unanswered))), (20, 20, 20));
+        let (rejected, overdue) =
+            (count(InTime(CounterResult::NotAdded)), count(InTime(CounterResult::Overdue)));
+        assert_eq!((rejected, overdue, count(Late(CounterResult::Unanswered))), (20, 20, 20));
         assert_eq!(silent.connection_count.load(Ordering::SeqCst), 20);
-        assert_eq!(client.ask(99).await, Now(CounterResult::Overdue), "the places are free again");
+        assert_eq!(
+            client.call_and_wait(99).await,
+            InTime(CounterResult::Overdue),
+            "the connections are free again"
+        );
 
-        let well = FakeServer::start(named);
-        let mut client = Client::within(TEST_TIMEOUT, well.address, "bursts");
+        let working = FakeServer::start(answer_with_key);
+        let mut client = Client::with_timeout(TEST_TIMEOUT, working.address, "bursts");
         for round in 0..40 {
             (0..16).for_each(|n| client.call(16 * round + n));
             for _ in 0..16 {
-                let (name, end) = client.next().await;
-                assert_eq!(end, Now(CounterResult::Total(name as f64)));
+                let (key, end) = client.next_end().await;
+                assert_eq!(end, InTime(CounterResult::Total(key as f64)));
             }
         }
-        let most = well.open_connections.1.load(Ordering::SeqCst);
-        assert!(most <= 32, "{most} connections were open at once");
+        let max_open = working.open_connections.1.load(Ordering::SeqCst);
+        assert!(max_open <= 32, "{max_open} connections were open at once");
     });
 }
 
-/// Guards against connections made anew for each burst, as those that it needs have stood idle between: each takes a
-/// round trip of its call's time.
+/// Guards against closing the connections that a burst needs while single calls leave them idle. Each new connection
+/// costs its call a round trip.
 #[test]
 fn what_a_burst_needs_stays_open_while_calls_come_one_by_one() {
     run(async {
-        let fake = fake_counter();
-        let mut client = Client::within(TEST_TIMEOUT, fake.address, "a call");
+        let counter = fake_counter();
+        let mut client = Client::with_timeout(TEST_TIMEOUT, counter.address, "a call");
         for _ in 0..2 {
-            (1..=2).for_each(|name| client.call(name));
+            (1..=2).for_each(|key| client.call(key));
             for _ in 0..2 {
-                client.next().await;
+                client.next_end().await;
             }
-            // For longer than an idle connection is kept.
+            // Longer than the time after which an idle connection is closed.
             for _ in 0..8 {
                 sleep(Duration::from_millis(450)).await;
-                client.ask(3).await;
+                client.call_and_wait(3).await;
             }
             sleep(CONNECTION_REUSE_DELAY).await;
         }
-        assert_eq!(fake.connection_count.load(Ordering::SeqCst), 2);
+        assert_eq!(counter.connection_count.load(Ordering::SeqCst), 2);
     });
 }
 
-/// Guards against calls lost, doubled or mixed up by a move of the counter: what is out ends where it is, late too;
-/// nothing new goes to the old address, which is left at once; and a connection from before is not used once the
-/// counter has moved back.
+/// Guards against calls that are lost, doubled or mixed up when the counter's address changes. Calls in flight end at the
+/// old address, also late ones; new calls go to the new address; connections to the old one are closed, and none
+/// of them is used after a change back.
 #[test]
 fn calls_end_where_they_are_and_later_ones_go_to_the_new_address() {
     use CounterResult::{Overdue, Total};
     run(async {
-        let ((old, go), new) = (holding(), FakeServer::start(named));
-        let mut client = Client::within(4 * SHORT, old.address, "moves");
-        // One connection is idle, two calls are out: one that ends in time, one that is overdue.
-        go.send(()).expect("it waits");
-        assert_eq!(client.ask(1).await, Now(Total(1.0)));
+        let ((old, release), new) = (counter_with_held_answers(), FakeServer::start(answer_with_key));
+        let mut client = Client::with_timeout(4 * SHORT_TIMEOUT, old.address, "moves");
+        // One call is finished, two are in flight on two connections and become overdue.
+        release.send(()).expect("the counter waits");
+        assert_eq!(client.call_and_wait(1).await, InTime(Total(1.0)));
         sleep(CONNECTION_REUSE_DELAY).await;
         client.call(2);
         sleep(CONNECTION_REUSE_DELAY).await;
         client.call(3);
-        let conns = [come(&old.requests).await, come(&old.requests).await, come(&old.requests).await]
-            .map(|s| s.connection);
-        assert_eq!(conns, [0, 0, 1]);
+        let connections =
+            [receive(&old.requests).await, receive(&old.requests).await, receive(&old.requests).await]
+                .map(|call| call.connection);
+        assert_eq!(connections, [0, 0, 1]);
         client.counter.move_to(new.address);
         client.call(4);
-        let ends = [client.next().await, client.next().await, client.next().await];
-        assert_eq!(ends, [(4, Now(Total(4.0))), (2, Now(Overdue)), (3, Now(Overdue))]);
-        // To and back again, twice.
+        let ends = [client.next_end().await, client.next_end().await, client.next_end().await];
+        assert_eq!(ends, [(4, InTime(Total(4.0))), (2, InTime(Overdue)), (3, InTime(Overdue))]);
+        // Changes back, there and back again.
         for address in [old.address, new.address, old.address] {
             client.counter.move_to(address);
         }
-        (0..2).for_each(|_| go.send(()).expect("it waits"));
-        let mut late = [client.next().await, client.next().await];
+        (0..2).for_each(|_| release.send(()).expect("the counter waits"));
+        let mut late = [client.next_end().await, client.next_end().await];
         late.sort_by_key(|l| l.0);
         assert_eq!(late, [(2, Late(Total(2.0))), (3, Late(Total(3.0)))]);
-        let mut ended = [come(&old.closed_by_peer).await, come(&old.closed_by_peer).await];
+        let mut ended = [receive(&old.closed_by_peer).await, receive(&old.closed_by_peer).await];
         ended.sort();
         assert_eq!(ended, [0, 1]);
-        go.send(()).expect("it waits");
-        assert_eq!(client.ask(5).await, Now(Total(5.0)));
+        release.send(()).expect("the counter waits");
+        assert_eq!(client.call_and_wait(5).await, InTime(Total(5.0)));
         assert_eq!((old.next_request().connection, new.requests.try_iter().count()), (2, 1));
     });
 }
 
-/// Guards against a call written to an address that was left while its connection was on its way.
+/// Guards against sending a call to an address that was replaced while its connection was being established.
 #[test]
 fn a_connection_that_comes_up_after_a_move_carries_nothing() {
     for back in [false, true] {
         run(async {
-            let (old, new) = (FullBacklogListener::start(), FakeServer::start(named));
+            let (old, new) = (FullBacklogListener::start(), FakeServer::start(answer_with_key));
             let address = old.address;
-            let mut client = Client::within(TEST_TIMEOUT, address, "late");
+            let mut client = Client::with_timeout(TEST_TIMEOUT, address, "late");
             client.call(1);
             sleep(Duration::from_millis(20)).await;
             client.counter.move_to(new.address);
-            let old = old.start_accepting(named);
+            let old = old.start_accepting(answer_with_key);
             if back {
                 client.counter.move_to(address);
             }
-            assert_eq!(client.next().await, (1, Now(CounterResult::Total(1.0))));
+            assert_eq!(client.next_end().await, (1, InTime(CounterResult::Total(1.0))));
             let (old, new) = (old.requests.try_iter().count(), new.requests.try_iter().count());
             assert_eq!((old, new), if back { (1, 0) } else { (0, 1) });
         });
     }
 }
 
-/// Guards against places that moves use up.
+/// Guards against address changes that leave connections counted as in use.
 #[test]
 fn moves_leave_no_place_taken() {
     run(async {
-        let fakes =
-            [FakeServer::start(named), FakeServer::start(|_| Reaction::Close), FakeServer::start(named)];
-        let mut client = Client::within(TEST_TIMEOUT, fakes[0].address, "many moves");
+        let counters = [
+            FakeServer::start(answer_with_key),
+            FakeServer::start(|_| Reaction::Close),
+            FakeServer::start(answer_with_key),
+        ];
+        let mut client = Client::with_timeout(TEST_TIMEOUT, counters[0].address, "many moves");
         for n in 0..90 {
             client.call(n);
             client.call(n);
             if n % 2 == 0 {
                 tokio::task::yield_now().await;
             }
-            client.counter.move_to(fakes[n as usize % 3].address);
+            client.counter.move_to(counters[n as usize % 3].address);
         }
         for _ in 0..180 {
-            client.next().await;
+            client.next_end().await;
         }
-        client.counter.move_to(fakes[0].address);
+        client.counter.move_to(counters[0].address);
         (0..20).for_each(|n| client.call(n));
         for _ in 0..20 {
-            let (name, end) = client.next().await;
-            assert_eq!(end, Now(CounterResult::Total(name as f64)));
+            let (key, end) = client.next_end().await;
+            assert_eq!(end, InTime(CounterResult::Total(key as f64)));
         }
     });
 }
 
-/// Guards against units lost or added twice as SIGHUP moves the counter, to and back, with calls out: in time, overdue
-/// and turned away. What both addresses have added is what was spent.
+/// Guards against units lost or added twice when SIGHUP changes the counter's address there and back while calls are in
+/// flight: in time, overdue and rejected. The sum of both addresses is the number of units spent.
 #[test]
 fn what_was_spent_is_added_once_whatever_moves() {
-    let numbers = CounterTotals::default();
-    let address = |delay: u64| {
-        let (numbers, calls) = (numbers.clone(), AtomicUsize::new(0));
-        FakeServer::start(move |seen| {
-            let away = calls.fetch_add(1, Ordering::SeqCst) % 3 == 2;
-            let answer = if away { answer("503 No", "", "") } else { total(&numbers.add(seen)) };
-            Reaction::Pieces(vec![(delay, answer)])
+    let totals = CounterTotals::default();
+    let start_counter = |delay_ms: u64| {
+        let (totals, calls) = (totals.clone(), AtomicUsize::new(0));
+        FakeServer::start(move |call| {
+            let rejected = calls.fetch_add(1, Ordering::SeqCst) % 3 == 2;
+            let answer = if rejected { answer("503 No", "", "") } else { total_answer(&totals.add(call)) };
+            Reaction::Pieces(vec![(delay_ms, answer)])
         })
     };
-    let (old, new, backend) = (address(120), address(40), FakeServer::start(|_| ok("x")));
+    let (old, new, backend) = (start_counter(120), start_counter(40), FakeServer::start(|_| ok("x")));
     let discovery = FakeDiscovery::start(vec![entry("s-0", backend.address, "SERVING")]);
-    // A window of a minute: what is turned away has time to be added.
-    let start = GatewayOptions { rate: 100.0, burst: 6000.0, ..GatewayOptions::default() };
-    let gateway = Gateway::start(&start, discovery.server.address, old.address);
+    // A window of a minute leaves time to send the units of rejected calls again.
+    let options = GatewayOptions { rate: 100.0, burst: 6000.0, ..GatewayOptions::default() };
+    let gateway = Gateway::start(&options, discovery.server.address, old.address);
     let (mut client, mut spent) = (gateway.client(), 0.0);
     for to in [&new, &old, &new] {
         for customer in 0..40 {
@@ -405,34 +444,35 @@
         }
         gateway.reload(discovery.server.address, to.address);
     }
-    numbers.wait_for_sum(spent);
-    // Nothing more is owed, and nothing comes to the address that was left.
+    totals.wait_for_sum(spent);
+    // No units are left to send, and the old address receives nothing more.
     old.requests.try_iter().for_each(drop);
     std::thread::sleep(Duration::from_millis(1_500));
     assert_eq!(
-        (numbers.sum(), old.requests.try_iter().count(), old.open_connections.0.load(Ordering::SeqCst)),
+        (totals.sum(), old.requests.try_iter().count(), old.open_connections.0.load(Ordering::SeqCst)),
         (spent, 0, 0)
     );
 }
 
-/// Guards against customers refused for what they have not used: the total that the gateway goes by is that of the
-/// second answer to another's call.
+/// Guards against refusing customers within their quota because the total of a second answer to another customer's call
+/// is taken for theirs.
 #[test]
 fn nobody_is_refused_for_a_second_answer() {
-    let (numbers, last) = (CounterTotals::default(), Mutex::<HashMap<usize, Instant>>::default());
+    let (totals, last_calls) = (CounterTotals::default(), Mutex::<HashMap<usize, Instant>>::default());
     let counter = FakeServer::start(move |call| {
-        let own = total(&numbers.add(call));
-        let before = last.lock().expect("unpoisoned").insert(call.connection, Instant::now());
-        let second = before.filter(|at| at.elapsed() < Duration::from_millis(8)).map(|_| total(POISON));
-        Reaction::Answer(second.unwrap_or_default() + &own)
+        let own_answer = total_answer(&totals.add(call));
+        let previous = last_calls.lock().expect("unpoisoned").insert(call.connection, Instant::now());
+        let second_answer =
+            previous.filter(|at| at.elapsed() < Duration::from_millis(8)).map(|_| total_answer(WRONG_TOTAL));
+        Reaction::Answer(second_answer.unwrap_or_default() + &own_answer)
     });
     let backend = FakeServer::start(|_| ok("x"));
-    // As many as keep a gateway from taking the fleet to be too busy, whatever this machine does beside.
+    // Enough backends that the gateway does not consider them overloaded, however busy this machine is.
     let entries = (0..8).map(|n| entry(&format!("s-{n}"), backend.address, "SERVING"));
     let discovery = FakeDiscovery::start(entries.collect());
     let changes = &[("\"count_limit_us\":80000", "\"count_limit_us\":2000000")];
-    let start = GatewayOptions { rate: 0.2, burst: 4.0, changes, ..GatewayOptions::default() };
-    let gateway = Gateway::start(&start, discovery.server.address, counter.address);
+    let options = GatewayOptions { rate: 0.2, burst: 4.0, changes, ..GatewayOptions::default() };
+    let gateway = Gateway::start(&options, discovery.server.address, counter.address);
     discovery.wait_until_list_received();
     let refused = AtomicUsize::new(0);
     std::thread::scope(|threads| {
@@ -440,7 +480,7 @@
             let (mut client, refused) = (gateway.client(), &refused);
             threads.spawn(move || {
                 for customer in 0..25 {
-                    // A third one wants a fresh total.
+                    // The third request needs a fresh total.
                     for _ in 0..3 {
                         let answer = client.ask(&request("consulta", first * 1000 + customer, 3000));
                         refused.fetch_add(usize::from(answer.status() == 429), Ordering::SeqCst);
