--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -884,8 +884,8 @@
         self.read_answer().expect("an answer")
     }
 
-    /// Waits for the next bytes or the end; returns whether the gateway closes or resets the connection, or answers with
-    /// an error status.
+    /// Waits for the next bytes or the end; returns whether the gateway closes or resets the connection, or answers
+    /// with an error status.
     pub fn closed_or_error(&mut self) -> bool {
         match self.reader.fill_buf() {
             Ok([]) => true,
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -324,8 +324,8 @@
     });
 }
 
-/// Guards against calls that are lost, doubled or mixed up when the counter's address changes. Calls in flight end at the
-/// old address, also late ones; new calls go to the new address; connections to the old one are closed, and none
+/// Guards against calls that are lost, doubled or mixed up when the counter's address changes. Calls in flight end at
+/// the old address, also late ones; new calls go to the new address; connections to the old one are closed, and none
 /// of them is used after a change back.
 #[test]
 fn calls_end_where_they_are_and_later_ones_go_to_the_new_address() {
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery that fails in every way it can, over real connections, on a clock that the test drives: what it has to
-//! tell is known within 6 s of the moment at which it has it and can be reached, and no fleet crowds it.
+//! Discovery that fails in many ways, over real connections, on a clock that the test advances. Gateways must know a
+//! change within 6 s of the moment at which discovery has it and can be reached, and no fleet may overload discovery.
 
 use badgerglade::discovery::patience::{first_wait, Backoff, Patience, Trouble};
 use badgerglade::discovery::{follow, Subscriber, Terms};
@@ -19,68 +19,81 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, Instant};
 
-/// What discovery has counts as told so long after it had it and could be reached.
-const TOLD: Duration = Duration::from_secs(6);
-const STEP: Duration = Duration::from_millis(25);
-/// Polls after which what is on its way over the loopback has come.
-const SETTLE: usize = 12;
-const ASKED: Discovery = Discovery::OnRequest { ask_interval: 10_000_000 };
-const MODES: [Discovery; 2] = [Discovery::Pushed, ASKED];
-/// The sizes of fleets, in the settings.
-const FLEETS: [u32; 4] = [1, 100, 300, 1024];
+/// The longest time from the moment at which discovery has a change and can be reached until a gateway must know it.
+const MAX_LIST_DELAY: Duration = Duration::from_secs(6);
+/// The step by which the clock is advanced.
+const CLOCK_STEP: Duration = Duration::from_millis(25);
+/// The number of task polls after which bytes sent over the loopback have arrived.
+const SETTLE_POLLS: usize = 12;
+/// Discovery is asked with calls that are 10 s apart.
+const ON_REQUEST: Discovery = Discovery::OnRequest { ask_interval: 10_000_000 };
+const MODES: [Discovery; 2] = [Discovery::Pushed, ON_REQUEST];
+/// The numbers of gateways in the settings of the fleets under test.
+const FLEET_SIZES: [u32; 4] = [1, 100, 300, 1024];
 
-/// What discovery does with calls.
+/// How discovery reacts to calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Mood {
+enum Behaviour {
     Serve,
-    /// Turns each away.
+    /// Answers each call with this status.
     Status(u16),
-    /// Nobody listens.
+    /// Connections are refused.
     Refuse,
     /// Connections are not accepted.
-    Line,
-    /// Silence for ever: before the head, in it, in the body.
-    Head,
-    MidHead,
-    MidBody,
-    /// Connections are reset when their call has come.
+    NotAccepting,
+    /// Sends nothing, for ever.
+    SilentBeforeHead,
+    /// Stops sending within the head of the answer.
+    SilentInHead,
+    /// Stops sending within the body of the answer.
+    SilentInBody,
+    /// Connections are reset once their call has been received.
     Reset,
-    /// Answers come, so late.
+    /// Answers are sent after this time.
     Slow(Duration),
-    /// Serves so many calls a second, one after another; what would wait in its line for over 2 s is turned away.
+    /// Serves this many calls per second, one after another; a call that would wait longer than `MAX_QUEUE_WAIT` is
+    /// rejected.
     Busy(u32),
 }
 
-/// What discovery's line holds.
-const LINE: Duration = Duration::from_secs(2);
+/// The longest time that a call waits in discovery's queue.
+const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
 
-const TROUBLES: [Mood; 8] = [
-    Mood::Status(503),
-    Mood::Status(429),
-    Mood::Refuse,
-    Mood::Line,
-    Mood::Head,
-    Mood::MidHead,
-    Mood::MidBody,
-    Mood::Reset,
+/// The ways in which discovery is unavailable.
+const OUTAGES: [Behaviour; 8] = [
+    Behaviour::Status(503),
+    Behaviour::Status(429),
+    Behaviour::Refuse,
+    Behaviour::NotAccepting,
+    Behaviour::SilentBeforeHead,
+    Behaviour::SilentInHead,
+    Behaviour::SilentInBody,
+    Behaviour::Reset,
 ];
 
-/// Discovery as this test plays it.
-struct World {
-    mood: watch::Sender<Mood>,
+/// A test double of discovery whose behaviour and list index the test changes.
+struct DiscoveryServer {
+    behaviour: watch::Sender<Behaviour>,
     index: watch::Sender<u64>,
-    /// When calls came.
-    calls: RefCell<Vec<Instant>>,
-    open: RefCell<Vec<AbortHandle>>,
-    /// When the line will be empty.
-    free: Cell<Instant>,
+    /// The times at which calls were received.
+    call_times: RefCell<Vec<Instant>>,
+    /// The tasks that serve connections.
+    connection_tasks: RefCell<Vec<AbortHandle>>,
+    /// The time at which the queue of `Behaviour::Busy` will be empty.
+    queue_empty_at: Cell<Instant>,
 }
 
-impl World {
-    fn new(mood: Mood) -> Rc<Self> {
-        let (mood, index) = (watch::Sender::new(mood), watch::Sender::new(1));
-        let free = Cell::new(Instant::now());
-        Rc::new(World { mood, index, calls: RefCell::default(), open: RefCell::default(), free })
+impl DiscoveryServer {
+    fn new(behaviour: Behaviour) -> Rc<Self> {
+        let (behaviour, index) = (watch::Sender::new(behaviour), watch::Sender::new(1));
+        let queue_empty_at = Cell::new(Instant::now());
+        Rc::new(DiscoveryServer {
+            behaviour,
+            index,
+            call_times: RefCell::default(),
+            connection_tasks: RefCell::default(),
+            queue_empty_at,
+        })
     }
 
     fn answer(&self) -> Vec<u8> {
@@ -91,31 +104,33 @@
         format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len()).into_bytes()
     }
 
-    /// Listens while the mood allows.
-    async fn run(self: Rc<Self>, address: SocketAddr) {
-        let (mut mood, mut kept) = (self.mood.subscribe(), Vec::new());
+    /// Accepts connections while the behaviour allows it.
+    async fn listen(self: Rc<Self>, address: SocketAddr) {
+        let (mut behaviour, mut unserved) = (self.behaviour.subscribe(), Vec::new());
         loop {
-            while *mood.borrow_and_update() == Mood::Refuse {
-                self.open.borrow_mut().drain(..).for_each(|task| task.abort());
-                mood.changed().await.expect("the world lasts");
+            while *behaviour.borrow_and_update() == Behaviour::Refuse {
+                self.connection_tasks.borrow_mut().drain(..).for_each(|task| task.abort());
+                behaviour.changed().await.expect("the server lasts");
             }
             let listener = TcpListener::bind(address).await.expect("an address of its own");
             loop {
-                if *mood.borrow_and_update() == Mood::Line {
-                    mood.changed().await.expect("the world lasts");
-                    // What came meanwhile stays where it is.
-                    while let Ok(Ok((stream, _))) = tokio::time::timeout(STEP / 20, listener.accept()).await {
-                        kept.push(stream);
+                if *behaviour.borrow_and_update() == Behaviour::NotAccepting {
+                    behaviour.changed().await.expect("the server lasts");
+                    // Connections that were made meanwhile stay unserved.
+                    while let Ok(Ok((stream, _))) =
+                        tokio::time::timeout(CLOCK_STEP / 20, listener.accept()).await
+                    {
+                        unserved.push(stream);
                     }
                 }
                 tokio::select! {
-                    come = listener.accept() => {
-                        let task = tokio::task::spawn_local(self.clone().serve(come.expect("a connection").0));
-                        self.open.borrow_mut().push(task.abort_handle());
+                    accepted = listener.accept() => {
+                        let task = tokio::task::spawn_local(self.clone().serve(accepted.expect("a connection").0));
+                        self.connection_tasks.borrow_mut().push(task.abort_handle());
                     }
-                    _ = mood.changed() => {}
+                    _ = behaviour.changed() => {}
                 }
-                if *mood.borrow() == Mood::Refuse {
+                if *behaviour.borrow() == Behaviour::Refuse {
                     break;
                 }
             }
@@ -131,52 +146,59 @@
                     return;
                 }
             }
-            self.calls.borrow_mut().push(Instant::now());
+            self.call_times.borrow_mut().push(Instant::now());
             let line = String::from_utf8_lossy(&text).into_owned();
-            let figure = |name: &str| {
+            let query_number = |name: &str| {
                 let rest = line.split_once(name)?.1;
                 rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
             };
-            let mut mood = *self.mood.borrow();
-            if let Mood::Busy(per_second) = mood {
-                let done = self.free.get().max(Instant::now()) + Duration::from_secs(1) / per_second;
-                if done - Instant::now() > LINE {
-                    mood = Mood::Status(503);
+            let mut behaviour = *self.behaviour.borrow();
+            if let Behaviour::Busy(per_second) = behaviour {
+                let served_at =
+                    self.queue_empty_at.get().max(Instant::now()) + Duration::from_secs(1) / per_second;
+                if served_at - Instant::now() > MAX_QUEUE_WAIT {
+                    behaviour = Behaviour::Status(503);
                 } else {
-                    self.free.set(done);
-                    tokio::time::sleep_until(done).await;
+                    self.queue_empty_at.set(served_at);
+                    tokio::time::sleep_until(served_at).await;
                 }
             }
-            if let (Some(held), Mood::Serve | Mood::Busy(_)) = (figure("index="), mood) {
+            if let (Some(held_index), Behaviour::Serve | Behaviour::Busy(_)) =
+                (query_number("index="), behaviour)
+            {
                 let mut index = self.index.subscribe();
-                let wait = Duration::from_millis(figure("wait=").expect("a wait"));
-                // Trouble that begins meanwhile meets open watches, too.
-                let mut later = self.mood.subscribe();
+                let wait = Duration::from_millis(query_number("wait=").expect("a wait"));
+                // A change of behaviour also affects open watches.
+                let mut changes = self.behaviour.subscribe();
                 tokio::select! {
-                    _ = index.wait_for(|now| *now > held) => {}
+                    _ = index.wait_for(|current| *current > held_index) => {}
                     () = sleep(wait) => {}
-                    _ = later.changed() => {}
+                    _ = changes.changed() => {}
                 }
             }
             let whole = self.answer();
-            let now = if let Mood::Busy(_) = *self.mood.borrow() { mood } else { *self.mood.borrow() };
-            let part = match now {
-                Mood::Serve | Mood::Busy(_) | Mood::Refuse => &whole[..],
-                Mood::Status(status) => {
+            let current = if let Behaviour::Busy(_) = *self.behaviour.borrow() {
+                behaviour
+            } else {
+                *self.behaviour.borrow()
+            };
+            let part = match current {
+                Behaviour::Serve | Behaviour::Busy(_) | Behaviour::Refuse => &whole[..],
+                Behaviour::Status(status) => {
                     let text = format!("HTTP/1.1 {status} No\r\ncontent-length: 0\r\n\r\n");
                     if stream.write_all(text.as_bytes()).await.is_err() {
                         return;
                     }
                     continue;
                 }
-                Mood::Slow(by) => {
-                    sleep(by).await;
+                Behaviour::Slow(delay) => {
+                    sleep(delay).await;
                     &whole[..]
                 }
-                Mood::Head | Mood::Line => &[],
-                Mood::MidHead => &whole[..12],
-                Mood::MidBody => &whole[..whole.len() - 9],
-                Mood::Reset => {
+                Behaviour::SilentBeforeHead | Behaviour::NotAccepting => &[],
+                Behaviour::SilentInHead => &whole[..12],
+                Behaviour::SilentInBody => &whole[..whole.len() - 9],
+                Behaviour::Reset => {
                     let _ = stream.set_zero_linger();
                     return;
                 }
@@ -185,7 +207,7 @@
                 return;
             }
             if part.len() < whole.len() {
-                // Silent for as long as the other side waits.
+                // Sends nothing more until the other side closes.
                 while stream.read_buf(&mut text).await.unwrap_or(0) > 0 {}
                 return;
             }
@@ -193,19 +215,20 @@
     }
 }
 
-/// Remembers what it was told, and when it last was told something new.
+/// The index of the list that a gateway knows, and the time at which it received it; `None` if it began with it.
 #[derive(Default)]
-struct Told {
+struct KnownList {
     index: Cell<u64>,
-    at: Cell<Option<Instant>>,
+    received_at: Cell<Option<Instant>>,
 }
 
-struct Gateway(Rc<Told>);
+/// A gateway that only records which list it knows.
+struct Gateway(Rc<KnownList>);
 
 impl Subscriber for Gateway {
     fn list_received(&self, list: EndpointList, _older: bool) -> bool {
         if self.0.index.replace(list.index) < list.index {
-            self.0.at.set(Some(Instant::now()));
+            self.0.received_at.set(Some(Instant::now()));
         }
         false
     }
@@ -215,49 +238,61 @@
     }
 }
 
-/// A fleet before one discovery.
+/// Gateways that follow one discovery server.
 struct Fleet {
-    world: Rc<World>,
-    told: Vec<Rc<Told>>,
-    began: Instant,
+    discovery: Rc<DiscoveryServer>,
+    known_lists: Vec<Rc<KnownList>>,
+    started: Instant,
 }
 
 impl Fleet {
-    /// So many gateways of a fleet of that size, which have begun with list 1 in hand or with none.
-    fn start(world: &Rc<World>, mode: Discovery, size: u32, play: u32, held: Option<u64>) -> Self {
+    /// Starts `simulated` gateways of a fleet that has `size` gateways according to the settings. They begin with the
+    /// list of index `held_index`, or with none.
+    fn start(
+        discovery: &Rc<DiscoveryServer>,
+        mode: Discovery,
+        size: u32,
+        simulated: u32,
+        held_index: Option<u64>,
+    ) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(1);
         let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
         let address = format!("127.{}.{}.{}:8500", 60 + pid / 250 % 180, 1 + pid % 250, n);
         let address: SocketAddr = address.parse().expect("an address");
-        tokio::task::spawn_local(world.clone().run(address));
-        let terms = Terms { mode, gateways: size, drain_grace: GRACE };
-        let told = (0..play).map(|n| {
-            let told = Rc::new(Told { index: Cell::new(held.unwrap_or(0)), at: Cell::default() });
+        tokio::task::spawn_local(discovery.clone().listen(address));
+        let terms = Terms { mode, gateways: size, drain_grace: DRAIN_GRACE };
+        let known_lists = (0..simulated).map(|n| {
+            let known_list = Rc::new(KnownList {
+                index: Cell::new(held_index.unwrap_or(0)),
+                received_at: Cell::default(),
+            });
             let (sender, address) = watch::channel(address);
-            let gateway = Gateway(told.clone());
+            let gateway = Gateway(known_list.clone());
             tokio::task::spawn_local(async move {
                 let _sender = sender;
-                follow(address, gateway, terms, held, u64::from(n) + 1).await;
+                follow(address, gateway, terms, held_index, u64::from(n) + 1).await;
             });
-            told
+            known_list
         });
-        Fleet { world: world.clone(), told: told.collect(), began: Instant::now() }
+        Fleet { discovery: discovery.clone(), known_lists: known_lists.collect(), started: Instant::now() }
     }
 
-    /// How long after `from` each heard of what is newest; `None` for those that have not.
-    fn heard(&self, from: Instant) -> Vec<Option<Duration>> {
-        let newest = *self.world.index.borrow();
-        let one = |t: &Rc<Told>| t.at.get().filter(|_| t.index.get() == newest).map(|at| at - from);
-        let mut all: Vec<_> = self.told.iter().map(one).collect();
-        all.sort_by_key(|t| t.unwrap_or(Duration::MAX));
+    /// Returns how long after `from` each gateway received the newest list, in ascending order; `None`, at the end, for
+    /// those that have not.
+    fn delays_since(&self, from: Instant) -> Vec<Option<Duration>> {
+        let newest = *self.discovery.index.borrow();
+        let delay =
+            |k: &Rc<KnownList>| k.received_at.get().filter(|_| k.index.get() == newest).map(|at| at - from);
+        let mut all: Vec<_> = self.known_lists.iter().map(delay).collect();
+        all.sort_by_key(|delay| delay.unwrap_or(Duration::MAX));
         all
     }
 
-    /// Calls in each second since the fleet began.
-    fn calls(&self) -> Vec<usize> {
-        let calls = self.world.calls.borrow();
-        let second = |at: &Instant| (*at - self.began).as_secs() as usize;
-        let mut all = vec![0; self.began.elapsed().as_secs() as usize];
+    /// Returns the number of calls in each second since the fleet started.
+    fn calls_per_second(&self) -> Vec<usize> {
+        let calls = self.discovery.call_times.borrow();
+        let second = |at: &Instant| (*at - self.started).as_secs() as usize;
+        let mut all = vec![0; self.started.elapsed().as_secs() as usize];
         calls.iter().map(second).for_each(|s| {
             if let Some(n) = all.get_mut(s) {
                 *n += 1
@@ -267,39 +302,41 @@
     }
 }
 
-/// Moves the clock on.
-async fn run(span: Duration) {
-    let until = Instant::now() + span;
-    while Instant::now() < until {
-        tokio::time::advance(STEP.min(until - Instant::now())).await;
-        for _ in 0..SETTLE {
+/// Advances the clock by `span`, letting bytes arrive after each step.
+async fn advance(span: Duration) {
+    let end = Instant::now() + span;
+    while Instant::now() < end {
+        tokio::time::advance(CLOCK_STEP.min(end - Instant::now())).await;
+        for _ in 0..SETTLE_POLLS {
             tokio::task::yield_now().await;
         }
     }
 }
 
-/// Runs on a clock that moves when the test says so alone.
-fn driven<T>(test: impl Future<Output = T>) -> T {
+/// Runs a test on a clock that moves only by `advance`.
+fn with_manual_clock<T>(test: impl Future<Output = T>) -> T {
     let mut runtime = Builder::new_current_thread();
     let runtime = runtime.enable_all().start_paused(true).build_local(LocalOptions::default());
     let runtime = runtime.expect("a runtime");
-    // The clock would go on by itself whenever nothing is to be done, also while bytes are on their way.
-    let (done, wait) = std::sync::mpsc::channel::<()>();
+    // tokio advances a paused clock by itself when all tasks are idle, also while bytes are in flight. It does not
+    // while a blocking task runs.
+    let (finish, finished) = std::sync::mpsc::channel::<()>();
     runtime.block_on(async move {
-        let hold = tokio::task::spawn_blocking(move || wait.recv().unwrap_or_default());
+        let blocking_task = tokio::task::spawn_blocking(move || finished.recv().unwrap_or_default());
         let result = test.await;
-        drop(done);
-        hold.await.expect("it ends");
+        drop(finish);
+        blocking_task.await.expect("the task ends");
         result
     })
 }
 
-const GRACE: Duration = Duration::from_secs(2);
+const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
-/// Each case on a clock of its own, a few at a time: a fleet holds many descriptors.
-fn each<C: Copy + Send + Sync, T: Send>(cases: &[C], test: fn(C) -> T) -> Vec<(C, T)> {
-    static TURN: Mutex<()> = Mutex::new(());
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+/// Runs each case on a clock of its own, four at a time: a fleet needs many descriptors. Returns each case with its
+/// result, in the order of completion.
+fn run_cases<C: Copy + Send + Sync, T: Send>(cases: &[C], test: fn(C) -> T) -> Vec<(C, T)> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    let _lock = LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..4 {
@@ -314,157 +351,181 @@
     done.into_inner().expect("unpoisoned")
 }
 
-/// Guards against waits that grow with the fleet or with failures until drains are not heard of.
+/// Guards against waits between calls that grow with the fleet or with failures until drains are known too late.
 #[test]
 fn a_change_is_known_6_s_after_discovery_had_it_and_could_be_reached() {
-    let cases: Vec<_> = MODES.into_iter().flat_map(|mode| TROUBLES.map(|mood| (mode, mood))).collect();
-    let slowest = each(&cases, |(mode, mood)| {
-        driven(async move {
-            let fleets = FLEETS.map(|size| Fleet::start(&World::new(Mood::Serve), mode, size, 20, Some(1)));
-            let mut slowest = FLEETS.map(|_| Duration::ZERO);
-            run(Duration::from_secs(5)).await;
-            // Outages that end at any moment of a call or a wait, the second before the first is got over.
-            for away in [700, 300, 3_100, 9_300, 21_500].map(Duration::from_millis) {
+    let cases: Vec<_> =
+        MODES.into_iter().flat_map(|mode| OUTAGES.map(|behaviour| (mode, behaviour))).collect();
+    let slowest = run_cases(&cases, |(mode, behaviour)| {
+        with_manual_clock(async move {
+            let fleets = FLEET_SIZES
+                .map(|size| Fleet::start(&DiscoveryServer::new(Behaviour::Serve), mode, size, 20, Some(1)));
+            let mut slowest = FLEET_SIZES.map(|_| Duration::ZERO);
+            advance(Duration::from_secs(5)).await;
+            // Outages that end at various moments of a call or a wait. After the two shorter ones, the next begins
+            // 400 ms later, before all gateways have recovered.
+            for outage in [700, 300, 3_100, 9_300, 21_500].map(Duration::from_millis) {
                 for fleet in &fleets {
-                    fleet.world.mood.send_replace(mood);
+                    fleet.discovery.behaviour.send_replace(behaviour);
                 }
-                run(away).await;
-                let back = Instant::now();
+                advance(outage).await;
+                let restored_at = Instant::now();
                 for fleet in &fleets {
-                    fleet.world.index.send_modify(|index| *index += 1);
-                    fleet.world.mood.send_replace(Mood::Serve);
+                    fleet.discovery.index.send_modify(|index| *index += 1);
+                    fleet.discovery.behaviour.send_replace(Behaviour::Serve);
                 }
-                run(if away < Duration::from_secs(1) { Duration::from_millis(400) } else { TOLD }).await;
+                advance(if outage < Duration::from_secs(1) {
+                    Duration::from_millis(400)
+                } else {
+                    MAX_LIST_DELAY
+                })
+                .await;
                 for (fleet, slowest) in fleets.iter().zip(&mut slowest) {
-                    let last = fleet.heard(back).pop().expect("gateways");
-                    let told = last.unwrap_or(if away < Duration::from_secs(1) {
+                    let last = fleet.delays_since(restored_at).pop().expect("gateways");
+                    let delay = last.unwrap_or(if outage < Duration::from_secs(1) {
                         Duration::ZERO
                     } else {
                         Duration::MAX
                     });
-                    *slowest = told.max(*slowest);
+                    *slowest = delay.max(*slowest);
                 }
             }
             slowest
         })
     });
-    for ((mode, mood), slowest) in &slowest {
-        println!("{mode:?} {mood:?}, fleets of {FLEETS:?}: {slowest:?}");
+    for ((mode, behaviour), slowest) in &slowest {
+        println!("{mode:?} {behaviour:?}, fleets of {FLEET_SIZES:?}: {slowest:?}");
     }
-    for ((mode, mood), slowest) in slowest {
-        // What an agent has counts at once, and binds a grace later.
-        let bound = if mode == ASKED { TOLD } else { GRACE };
-        assert!(slowest.iter().all(|s| *s < bound), "{mode:?} {mood:?}: {slowest:?}");
+    for ((mode, behaviour), slowest) in slowest {
+        // A pushed list counts as told as soon as the agent has it, and binds after the drain grace.
+        let bound = if mode == ON_REQUEST { MAX_LIST_DELAY } else { DRAIN_GRACE };
+        assert!(slowest.iter().all(|s| *s < bound), "{mode:?} {behaviour:?}: {slowest:?}");
     }
 }
 
-/// Guards against a fleet whose calls crowd discovery: while it turns calls away, as it comes back, and at a start of
-/// all gateways together. Both hold, whatever the size of the fleet: the intervals of a gateway have a bound, and a
-/// fleet makes few more calls than it does while all is well.
+/// Guards against a fleet that overloads discovery with calls: during an outage, at its end, and when all gateways
+/// start together. For every size of the fleet, a change is known in time, and the fleet makes few more calls than it
+/// does while discovery works.
 #[test]
 fn a_fleet_does_not_crowd_discovery() {
-    let cases: Vec<_> = FLEETS
+    let cases: Vec<_> = FLEET_SIZES
         .into_iter()
-        .flat_map(|size| [(size, Mood::Status(503)), (size, Mood::Refuse), (size, Mood::Head)])
+        .flat_map(|size| {
+            [(size, Behaviour::Status(503)), (size, Behaviour::Refuse), (size, Behaviour::SilentBeforeHead)]
+        })
         .collect();
-    for ((size, mood), (calls, told)) in each(&cases, |(size, mood)| {
-        driven(async move {
-            let fleet = Fleet::start(&World::new(Mood::Serve), ASKED, size, size, Some(1));
-            run(Duration::from_secs(20)).await;
-            fleet.world.mood.send_replace(mood);
-            run(Duration::from_secs(30)).await;
-            let back = Instant::now();
-            fleet.world.index.send_modify(|index| *index += 1);
-            fleet.world.mood.send_replace(Mood::Serve);
-            run(Duration::from_secs(10)).await;
-            (fleet.calls(), fleet.heard(back).pop().expect("gateways"))
+    for ((size, behaviour), (calls, delay)) in run_cases(&cases, |(size, behaviour)| {
+        with_manual_clock(async move {
+            let fleet =
+                Fleet::start(&DiscoveryServer::new(Behaviour::Serve), ON_REQUEST, size, size, Some(1));
+            advance(Duration::from_secs(20)).await;
+            fleet.discovery.behaviour.send_replace(behaviour);
+            advance(Duration::from_secs(30)).await;
+            let restored_at = Instant::now();
+            fleet.discovery.index.send_modify(|index| *index += 1);
+            fleet.discovery.behaviour.send_replace(Behaviour::Serve);
+            advance(Duration::from_secs(10)).await;
+            (fleet.calls_per_second(), fleet.delays_since(restored_at).pop().expect("gateways"))
         })
     }) {
         let mean = |span: std::ops::Range<usize>| {
             calls[span.clone()].iter().sum::<usize>() as f64 / span.len() as f64
         };
-        let most =
-            |span: std::ops::Range<usize>| calls[span].iter().copied().max().unwrap_or_default() as f64;
-        let (served, away) = (mean(6..20), mean(25..50));
+        let max = |span: std::ops::Range<usize>| calls[span].iter().copied().max().unwrap_or_default() as f64;
+        let (served_rate, outage_rate) = (mean(6..20), mean(25..50));
         println!(
-            "{size} gateways, {mood:?}: calls a second: {served:.1} while served, {away:.1} while away (most {}), \
-             at the start {} at most, at the return {} at most; the last one knows after {told:?}",
-            most(20..50), most(0..6), most(50..60)
+            "{size} gateways, {behaviour:?}: calls a second: {served_rate:.1} while served, {outage_rate:.1} in the outage (at most {}), \
+             at the start at most {}, at the return at most {}; the last one knows after {delay:?}",
+            max(20..50), max(0..6), max(50..60)
         );
-        assert!(told.is_some_and(|told| told < TOLD), "{size} {mood:?}: {told:?}");
+        assert!(delay.is_some_and(|delay| delay < MAX_LIST_DELAY), "{size} {behaviour:?}: {delay:?}");
         if size > 1 {
             assert!(
-                away < 1.25 * served,
-                "{size} {mood:?}: {away} calls a second while away, {served} while served"
+                outage_rate < 1.25 * served_rate,
+                "{size} {behaviour:?}: {outage_rate} calls a second in the outage, {served_rate} while served"
             );
-            assert!(most(0..60) <= 4.0 * served, "{size} {mood:?}: {calls:?}");
+            assert!(max(0..60) <= 4.0 * served_rate, "{size} {behaviour:?}: {calls:?}");
         }
     }
 }
 
-/// Restarted all at once, from an old list and from an empty one or none, which to discovery are the same.
+/// Guards against gateways that go without a list for long after a simultaneous restart of the whole fleet. To
+/// discovery, a start from an old list, an empty one and none are the same.
 #[test]
 fn nine_in_ten_of_a_fleet_that_restarts_know_a_list_within_10_s() {
-    let moods = [
-        Mood::Serve,
-        Mood::Slow(Duration::from_secs(1)),
-        Mood::Slow(Duration::from_millis(3_500)),
-        Mood::Busy(90),
-        Mood::Status(503),
-        Mood::Refuse,
-        Mood::Line,
-        Mood::Head,
+    let behaviours = [
+        Behaviour::Serve,
+        Behaviour::Slow(Duration::from_secs(1)),
+        Behaviour::Slow(Duration::from_millis(3_500)),
+        Behaviour::Busy(90),
+        Behaviour::Status(503),
+        Behaviour::Refuse,
+        Behaviour::NotAccepting,
+        Behaviour::SilentBeforeHead,
     ];
-    let cases: Vec<_> = MODES.into_iter().flat_map(|mode| moods.map(|mood| (mode, mood))).collect();
-    for ((mode, mood), told) in each(&cases, |(mode, mood)| {
-        driven(async move {
-            let (fleet, began) = (Fleet::start(&World::new(mood), mode, 300, 300, None), Instant::now());
-            if !matches!(mood, Mood::Slow(_) | Mood::Busy(_)) {
-                run(Duration::from_secs(5)).await;
-                fleet.world.mood.send_replace(Mood::Serve);
+    let cases: Vec<_> =
+        MODES.into_iter().flat_map(|mode| behaviours.map(|behaviour| (mode, behaviour))).collect();
+    for ((mode, behaviour), delays) in run_cases(&cases, |(mode, behaviour)| {
+        with_manual_clock(async move {
+            let (fleet, started) =
+                (Fleet::start(&DiscoveryServer::new(behaviour), mode, 300, 300, None), Instant::now());
+            if !matches!(behaviour, Behaviour::Slow(_) | Behaviour::Busy(_)) {
+                advance(Duration::from_secs(5)).await;
+                fleet.discovery.behaviour.send_replace(Behaviour::Serve);
             }
-            run(Duration::from_secs(25)).await;
-            fleet.heard(began)
+            advance(Duration::from_secs(25)).await;
+            fleet.delays_since(started)
         })
     }) {
-        // Of an agent of its own, nobody else is in the line.
-        if (mode, mood) == (Discovery::Pushed, Mood::Busy(90)) {
+        // With pushed lists each gateway has an agent of its own, which has no queue of other gateways' calls.
+        if (mode, behaviour) == (Discovery::Pushed, Behaviour::Busy(90)) {
             continue;
         }
         println!(
-            "{mode:?} {mood:?}: half know a list after {:?}, nine in ten after {:?}, all after {:?}",
-            told[150], told[269], told[299]
+            "{mode:?} {behaviour:?}: half know a list after {:?}, nine in ten after {:?}, all after {:?}",
+            delays[150], delays[269], delays[299]
+        );
+        assert!(
+            delays[269].is_some_and(|t| t < Duration::from_secs(10)),
+            "{mode:?} {behaviour:?}: {:?}",
+            delays[269]
+        );
+        assert!(
+            delays[299].is_some_and(|t| t < Duration::from_secs(30)),
+            "{mode:?} {behaviour:?}: {:?}",
+            delays[299]
         );
-        assert!(told[269].is_some_and(|t| t < Duration::from_secs(10)), "{mode:?} {mood:?}: {:?}", told[269]);
-        assert!(told[299].is_some_and(|t| t < Duration::from_secs(30)), "{mode:?} {mood:?}: {:?}", told[299]);
     }
 }
 
 #[test]
 fn a_pushed_list_is_asked_for_at_once_and_others_before_they_count_as_told() {
-    let terms = |mode, gateways| Terms { mode, gateways, drain_grace: GRACE };
-    for gateways in FLEETS {
-        let pushed = first_wait(terms(Discovery::Pushed, gateways), 0.99);
-        assert_eq!(pushed, Duration::ZERO, "{gateways} gateways");
-        let asked = terms(ASKED, gateways);
-        let longest = first_wait(asked, 1.0);
-        assert!(longest + Patience::of(asked).overdue < TOLD, "{gateways} gateways: {longest:?}");
+    let terms = |mode, gateways| Terms { mode, gateways, drain_grace: DRAIN_GRACE };
+    for gateways in FLEET_SIZES {
+        let wait = first_wait(terms(Discovery::Pushed, gateways), 0.99);
+        assert_eq!(wait, Duration::ZERO, "{gateways} gateways");
+        let on_request = terms(ON_REQUEST, gateways);
+        let longest_wait = first_wait(on_request, 1.0);
+        assert!(
+            longest_wait + Patience::of(on_request).overdue < MAX_LIST_DELAY,
+            "{gateways} gateways: {longest_wait:?}"
+        );
     }
-    let asked = terms(ASKED, 300);
-    assert!(first_wait(asked, 0.9) > first_wait(asked, 0.1), "calls are spread");
+    let on_request = terms(ON_REQUEST, 300);
+    assert!(first_wait(on_request, 0.9) > first_wait(on_request, 0.1), "calls are spread");
 }
 
 #[test]
 fn silence_is_found_within_the_grace_or_before_what_is_missed_counts_as_told() {
     for grace in [500, 1_000, 2_000, 60_000].map(Duration::from_millis) {
         let terms = Terms { mode: Discovery::Pushed, gateways: 300, drain_grace: grace };
-        let p = Patience::of(terms);
-        // The end of a silent watch, a connection that does not come up, a wait, and a call that is answered.
+        let limits = Patience::of(terms);
+        // The end of a silent call, a connection that is not established, and a wait; then a call is answered at once.
         let wait = |jitter| Backoff::of(terms).wait(Trouble::Broke, 20, Duration::ZERO, jitter);
-        let anew = p.overdue + p.connect + wait(1.0);
-        assert!(p.wait + p.overdue < grace && anew < grace, "{grace:?}");
-        assert!(p.wait + anew < TOLD, "{grace:?}");
+        let next_answer = limits.overdue + limits.connect + wait(1.0);
+        assert!(limits.wait + limits.overdue < grace && next_answer < grace, "{grace:?}");
+        assert!(limits.wait + next_answer < MAX_LIST_DELAY, "{grace:?}");
     }
-    let p = Patience::of(Terms { mode: ASKED, gateways: 300, drain_grace: GRACE });
-    assert!(p.wait + p.overdue < TOLD);
+    let limits = Patience::of(Terms { mode: ON_REQUEST, gateways: 300, drain_grace: DRAIN_GRACE });
+    assert!(limits.wait + limits.overdue < MAX_LIST_DELAY);
 }
