--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -12,22 +12,22 @@
 
 /// Descriptors that belong to none of the pools: the runtime's and the log's, the listener, one that is
 /// being accepted, discovery before and after a reload, and those that are closed but not yet given back.
-const SPARE_DESCRIPTORS: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Nothing moves with fewer connections to clients, or to backends, than this.
-const LEAST_SHARE: usize = 8;
+const MIN_CONNECTIONS: usize = 8;
 /// Where the file states no limit, or a higher one.
-const MOST_DESCRIPTORS: usize = 1024;
+const MAX_DESCRIPTORS: usize = 1024;
 /// Operators' connections.
-const OPS_CONNECTIONS: usize = 8;
+const MAX_OPERATOR_CONNECTIONS: usize = 8;
 /// Connections that the counter holds for one gateway (32), less some for those it has not seen closed; and
 /// what each of two processes may have.
 const COUNTER_CONNECTIONS: usize = 20;
-const COUNTER_PAIRED: usize = 10;
+const COUNTER_CONNECTIONS_PAIRED: usize = 10;
 /// The part of the memory that bodies may hold, clients' and answers each.
-const BODY_PART: usize = 8;
+const BODY_MEMORY_DIVISOR: usize = 8;
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -63,9 +63,9 @@
 
 impl ConnectionLimits {
     /// For so many processes together, but `counter`, which is for each. A limit that could not be kept is an error.
-    fn of(descriptors: usize, processes: usize, counter: usize) -> Result<Self, String> {
-        let set_apart = processes * (SPARE_DESCRIPTORS + counter + OPS_CONNECTIONS);
-        let least = set_apart + 2 * LEAST_SHARE;
+    fn for_processes(descriptors: usize, processes: usize, counter: usize) -> Result<Self, String> {
+        let set_apart = processes * (RESERVED_DESCRIPTORS + counter + MAX_OPERATOR_CONNECTIONS);
+        let least = set_apart + 2 * MIN_CONNECTIONS;
         if descriptors < least {
             return Err(format!("limits: {descriptors} descriptors, at least {least} are needed"));
         }
@@ -74,7 +74,7 @@
     }
 
     /// What another process leaves of what both may hold, and some in any case: without, nothing moves.
-    pub fn beside(self, other: OpenConnections) -> Self {
+    pub fn left_by(self, other: OpenConnections) -> Self {
         let left = |most: usize, held: usize| most.saturating_sub(held).max(most / 8);
         let (clients, backends) = (left(self.clients, other.clients), left(self.backends, other.backends));
         ConnectionLimits { clients, backends, ..self }
@@ -108,13 +108,13 @@
     pub backend_idle_timeout: Duration,
 }
 
-fn address(what: &str, env: &str, file: Option<String>) -> Result<SocketAddr, String> {
+fn configured_address(what: &str, env: &str, file: Option<String>) -> Result<SocketAddr, String> {
     let text = std::env::var(env).ok().or(file).ok_or_else(|| format!("{what}: not given"))?;
     text.parse().map_err(|e| format!("{what} {text:?}: {e}"))
 }
 
 /// The file that `NODE_CONFIG` names; the error is one plain line.
-fn read<T: DeserializeOwned>() -> Result<T, String> {
+fn read_config_file<T: DeserializeOwned>() -> Result<T, String> {
     let path = std::env::var("NODE_CONFIG").map_err(|_| "NODE_CONFIG: not set")?;
     let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
     serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))
@@ -130,22 +130,22 @@
 impl Reload {
     /// Danger: `NODE_DISCOVERY` is that of the start for ever; on a reload the file alone speaks.
     pub fn from_file() -> Result<Self, String> {
-        read()
+        read_config_file()
     }
 }
 
 impl Setup {
     /// Reads the environment and the file; the error is one plain line.
     pub fn from_env() -> Result<Self, String> {
-        let file: File = read()?;
+        let file: ConfigFile = read_config_file()?;
         let settings = serde_json::to_vec(&file.settings).map_err(|e| e.to_string())?;
         let module = caperwind_benchlink::parse_settings(&settings)?;
         module.validate().map_err(|e| e.to_string())?;
         let idle_close = file.settings.pointer("/policy_limits/idle_close_us").and_then(|v| v.as_u64());
         let idle_close = Duration::from_micros(idle_close.unwrap_or(15_000_000));
         let limits = file.limits.unwrap_or(Limits { sockets: None, memory_mb: None });
-        let descriptors = limits.sockets.unwrap_or(MOST_DESCRIPTORS).min(own_limit());
-        let body_bytes = (limits.memory_mb.unwrap_or(32) << 20) / BODY_PART;
+        let descriptors = limits.sockets.unwrap_or(MAX_DESCRIPTORS).min(process_descriptor_limit());
+        let body_bytes = (limits.memory_mb.unwrap_or(32) << 20) / BODY_MEMORY_DIVISOR;
         let counter = match file.counter {
             Some(text) => Some(text.parse().map_err(|e| format!("counter {text:?}: {e}"))?),
             None => None,
@@ -158,25 +158,25 @@
             Ok(text) => Some(text.parse().map_err(|e| format!("NODE_FD {text:?}: {e}"))?),
             Err(_) => None,
         };
-        let listen = address("listen", "NODE_LISTEN", file.listen)?;
+        let listen = configured_address("listen", "NODE_LISTEN", file.listen)?;
         // Danger: without a folder of its own, this would be one that other gateways use, too.
         let meet = std::env::var_os("TMPDIR").map(|dir| PathBuf::from(dir).join(format!("{listen}.sock")));
         Ok(Setup {
             ops,
             name: std::env::var("NODE_NAME").ok().or(file.name).unwrap_or_default(),
             listen,
-            discovery: address("discovery", "NODE_DISCOVERY", file.discovery)?,
+            discovery: configured_address("discovery", "NODE_DISCOVERY", file.discovery)?,
             counter,
-            seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| rough_seed(&file.seed)),
+            seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| seed_from_text(&file.seed)),
             initial_list: file.known,
             decision_config: module,
             max_body_bytes: body_bytes,
             max_descriptors: descriptors,
-            solo_limits: ConnectionLimits::of(descriptors, 1, COUNTER_CONNECTIONS)?,
-            paired_limits: ConnectionLimits::of(descriptors, 2, COUNTER_PAIRED)?,
+            solo_limits: ConnectionLimits::for_processes(descriptors, 1, COUNTER_CONNECTIONS)?,
+            paired_limits: ConnectionLimits::for_processes(descriptors, 2, COUNTER_CONNECTIONS_PAIRED)?,
             inherited_listener_fd: inherited,
             handover_socket: meet,
-            max_operator_connections: OPS_CONNECTIONS,
+            max_operator_connections: MAX_OPERATOR_CONNECTIONS,
             // Danger: a request written to a connection that the backend is closing ends as a reset,
             // which for an unsafe class is a failure. Well before its limit no such race is near.
             backend_idle_timeout: idle_close.mul_f64(0.6),
@@ -185,11 +185,11 @@
 }
 
 /// The process's own limit on descriptors. Danger: the file may allow more than the system does.
-fn own_limit() -> usize {
+fn process_descriptor_limit() -> usize {
     let own = rlimit::Resource::NOFILE.get_soft().ok().and_then(|limit| usize::try_from(limit).ok());
-    own.map_or(MOST_DESCRIPTORS, |own| own.min(MOST_DESCRIPTORS))
+    own.map_or(MAX_DESCRIPTORS, |own| own.min(MAX_DESCRIPTORS))
 }
 
-fn rough_seed(text: &str) -> u64 {
+fn seed_from_text(text: &str) -> u64 {
     fnv1a(text.as_bytes())
 }
--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -15,9 +15,9 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// How long a connection is kept for an answer that is late already. Danger: until then the call counts as one
 /// that the counter has: a connection that has gone silent holds its place that long.
-const LINGER: Duration = Duration::from_secs(1);
+const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 /// How often the end looks whether calls are out.
-const TURN: Duration = Duration::from_millis(2);
+const END_POLL_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_ANSWER_BYTES: usize = 1024;
 
 /// Who is told what became of calls.
@@ -32,14 +32,14 @@
 pub struct Counter {
     address: Cell<Option<SocketAddr>>,
     /// How often the address has changed.
-    moves: Cell<u64>,
-    limit: Duration,
+    address_changes: Cell<u64>,
+    call_timeout: Duration,
     max_connections: Cell<usize>,
     open: Cell<usize>,
     /// Calls whose result has not been told.
     in_flight: Cell<usize>,
     /// Starts no more calls.
-    ended: Cell<bool>,
+    closed: Cell<bool>,
     /// Made since the last move only.
     idle: RefCell<Vec<(Link, Instant)>>,
 }
@@ -50,7 +50,7 @@
 impl Permit {
     fn acquire(counter: &Rc<Counter>) -> Option<Self> {
         let open = counter.open.get() + counter.idle.borrow().len();
-        (open < counter.max_connections.get() && !counter.ended.get()).then(|| {
+        (open < counter.max_connections.get() && !counter.closed.get()).then(|| {
             counter.open.set(counter.open.get() + 1);
             Permit(counter.clone())
         })
@@ -71,12 +71,12 @@
             (Cell::new(0), Cell::new(0), Cell::new(false), RefCell::default());
         Rc::new(Counter {
             address,
-            moves: Cell::new(0),
-            limit,
+            address_changes: Cell::new(0),
+            call_timeout: limit,
             max_connections,
             open,
             in_flight,
-            ended,
+            closed: ended,
             idle,
         })
     }
@@ -89,19 +89,19 @@
 
     /// Later calls go to this address. Calls that are out end where they are: none goes out again. Danger: an address
     /// that was left closes its connections soon: none of before is used again, also after a move back.
-    pub fn move_to(&self, address: SocketAddr) {
+    pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(Some(address)) != Some(address) {
-            self.moves.set(self.moves.get() + 1);
+            self.address_changes.set(self.address_changes.get() + 1);
             self.idle.borrow_mut().clear();
         }
     }
 
     /// Starts no more calls, and waits for those that are out, up to a call's time and no longer than `until`.
-    pub async fn end(&self, until: Instant) {
-        self.ended.set(true);
-        let until = until.min(Instant::now() + self.limit);
+    pub async fn finish(&self, until: Instant) {
+        self.closed.set(true);
+        let until = until.min(Instant::now() + self.call_timeout);
         while self.busy() && Instant::now() < until {
-            sleep(TURN).await;
+            sleep(END_POLL_INTERVAL).await;
         }
     }
 
@@ -118,7 +118,7 @@
         let (counter, began) = (self.clone(), clock.now());
         self.in_flight.set(self.in_flight.get() + 1);
         tokio::task::spawn_local(async move {
-            let until = Instant::now() + counter.limit;
+            let until = Instant::now() + counter.call_timeout;
             let path = format!("/v2/numbers/{:016x}?delta={amount}&life_ms={}", name.0, (life / 1000).max(1));
             let tell = |result| {
                 counter.in_flight.set(counter.in_flight.get() - 1);
@@ -127,8 +127,8 @@
             let Some((permit, link)) = counter.checkout(until).await else {
                 return tell(CounterResult::NotAdded);
             };
-            let moves = counter.moves.get();
-            let call = ask(link, &path);
+            let moves = counter.address_changes.get();
+            let call = send_call(link, &path);
             tokio::pin!(call);
             // Danger: an answer that comes after the call was given up must not be taken for the next
             // one's: the connection is not used again before it has come.
@@ -141,14 +141,14 @@
                 Err(_) => {
                     tell(CounterResult::Overdue);
                     let (end, link) =
-                        timeout(LINGER, call).await.unwrap_or((CounterResult::Unanswered, None));
+                        timeout(LATE_ANSWER_TIMEOUT, call).await.unwrap_or((CounterResult::Unanswered, None));
                     results.overdue_call_ended(name, amount, end);
                     link
                 }
             };
             drop(permit);
             let room = counter.open.get() + counter.idle.borrow().len() < counter.max_connections.get();
-            let again = link.filter(|link| room && link.usable() && counter.moves.get() == moves);
+            let again = link.filter(|link| room && link.usable() && counter.address_changes.get() == moves);
             counter.idle.borrow_mut().extend(again.map(|link| (link, Instant::now())));
         });
     }
@@ -173,10 +173,10 @@
                 return Some((Permit::acquire(self)?, link));
             }
             if let Some(permit) = Permit::acquire(self) {
-                let (moves, address) = (self.moves.get(), self.address.get()?);
+                let (moves, address) = (self.address_changes.get(), self.address.get()?);
                 let made = timeout_at(until, Link::connect(address)).await.ok()?;
                 // Danger: one that comes up after a move leads to where nothing new is to go.
-                if moves != self.moves.get() {
+                if moves != self.address_changes.get() {
                     continue;
                 }
                 return Some((permit, made.ok()?));
@@ -195,7 +195,7 @@
 }
 
 /// One call; also the connection, where it may be used again.
-async fn ask(mut link: Link, path: &str) -> (CounterResult, Option<Link>) {
+async fn send_call(mut link: Link, path: &str) -> (CounterResult, Option<Link>) {
     let request = hyper::Request::post(path).header("host", "counter").header("content-length", "0");
     let Ok(request) = request.body(Either::Left(Full::new(Bytes::new()))) else {
         return (CounterResult::NotAdded, None);
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,185 +1,199 @@
-//! Discovery: a full list, then one watch after another; what it tells goes to the subscriber in order.
+//! Follows discovery's list of backends: reads the full list, then makes one watch (long-poll) call after another
+//! and passes each list to the subscriber in order.
 
 mod agent;
 pub mod patience;
 
 use crate::endpoints::EndpointList;
-use agent::{Agent, Failure};
+use agent::{Connection, Failure};
 use caperwind::Discovery;
-use patience::{first_wait, Backoff, Patience, Trouble};
+use patience::{initial_delay, Backoff, CallTimeouts, FailureKind};
 use std::convert::Infallible;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What goes wrong all the time is logged this often.
-const LOG_EVERY: Duration = Duration::from_secs(5);
-/// Such a watch is answered at once.
-const NO_WAIT: Duration = Duration::from_millis(1);
+/// The minimum time between two log lines about failed calls.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
+/// The wait time asked for in a watch that discovery is to answer at once.
+const IMMEDIATE_WAIT: Duration = Duration::from_millis(1);
 
-/// Who is told what discovery says.
+/// Receives the lists that discovery sends.
 pub trait Subscriber {
-    /// A list, which may be `older` than what is held; true where the whole one is wanted next.
-    fn list_received(&self, list: EndpointList, older: bool) -> bool;
-    /// A call told nothing: what is held stays in force.
+    /// Takes over a list. `regressed` says that the list's index is below the newest one seen, or that nothing
+    /// has been received from this agent yet, so that the list may be older than what is held. Returns true if
+    /// the full list is to be read next.
+    fn list_received(&self, list: EndpointList, regressed: bool) -> bool;
+    /// Called when a call returned no list; the lists received so far stay in force.
     fn call_failed(&self);
-    /// Whether any backend is known, of whatever list.
+    /// Returns whether any backend is known, from whichever list.
     fn knows_any_backend(&self) -> bool;
 }
 
-/// How the settings want the list followed.
+/// How discovery is to be followed, as taken from the configuration.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct FollowSettings {
+    /// How changes reach this gateway: pushed to a local agent, or read from discovery on request.
     pub mode: Discovery,
-    /// Of the whole fleet.
+    /// The number of gateways in the whole fleet.
     pub gateways: u32,
-    /// Nothing new may go to a backend so long after word of its drain.
+    /// The time after the notice of a backend's drain from which nothing new may be sent to it.
     pub drain_grace: Duration,
 }
 
-impl Terms {
-    pub fn of(module: &caperwind::Config) -> Self {
+impl FollowSettings {
+    /// Extracts these settings from the decision module's configuration.
+    pub fn from_config(module: &caperwind::Config) -> Self {
         let drain_grace = Duration::from_micros(module.drain_grace);
-        Terms { mode: module.discovery, gateways: module.gateways, drain_grace }
+        FollowSettings { mode: module.discovery, gateways: module.gateways, drain_grace }
     }
 }
 
-/// What is held of discovery's list, and what its last calls came to.
+/// The state of following the list: what is held of it, and how the last calls ended.
 struct Follower<S> {
     subscriber: S,
-    terms: Terms,
-    /// The version that is held; `None`: the whole list is due.
-    held: Option<u64>,
-    /// The last version that this agent has told; `None`: nothing yet.
-    newest: Option<u64>,
-    patience: Patience,
+    settings: FollowSettings,
+    /// The index of the list that is held; `None` if the full list has to be read.
+    held_index: Option<u64>,
+    /// The last index received from this agent; `None` if nothing has been received yet.
+    newest_index: Option<u64>,
+    timeouts: CallTimeouts,
     backoff: Backoff,
-    /// When the last call began, connections included.
-    began: Instant,
-    /// Calls in a row that told nothing, and of these the last ones in a row that fell silent.
-    failures: u32,
-    silences: u32,
-    logged: Option<Instant>,
-    random: fastrand::Rng,
+    /// When the last call began, including the time to connect.
+    call_started_at: Instant,
+    /// The number of consecutive calls that returned no list.
+    consecutive_failures: u32,
+    /// How many of the latest of them in a row timed out.
+    consecutive_timeouts: u32,
+    last_logged_at: Option<Instant>,
+    rng: fastrand::Rng,
 }
 
-/// Follows the list for as long as the program runs, at the address that holds at the time. `held` is the
-/// version of the list that the program began with.
+/// Follows the list for as long as the process runs, at the address that `address` holds at the time.
+/// `held_index` is the index of the list that the process started with, if any.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
     subscriber: impl Subscriber,
-    terms: Terms,
-    held: Option<u64>,
+    settings: FollowSettings,
+    held_index: Option<u64>,
     seed: u64,
 ) {
-    let mut random = fastrand::Rng::with_seed(seed);
-    if held.is_some() {
-        tokio::time::sleep(first_wait(terms, random.f64())).await;
+    let mut rng = fastrand::Rng::with_seed(seed);
+    if held_index.is_some() {
+        tokio::time::sleep(initial_delay(settings, rng.f64())).await;
     }
     let mut follower = Follower {
         subscriber,
-        terms,
-        held,
-        newest: held,
-        patience: Patience::of(terms),
-        backoff: Backoff::of(terms),
-        began: Instant::now(),
-        failures: 0,
-        silences: 0,
-        logged: None,
-        random,
+        settings,
+        held_index,
+        newest_index: held_index,
+        timeouts: CallTimeouts::new(settings),
+        backoff: Backoff::new(settings),
+        call_started_at: Instant::now(),
+        consecutive_failures: 0,
+        consecutive_timeouts: 0,
+        last_logged_at: None,
+        rng,
     };
     loop {
-        let at = *address.borrow_and_update();
-        let try_one = async {
-            let Err(why) = follower.session(at).await;
-            tokio::time::sleep(follower.failed(&why)).await;
+        let current_address = *address.borrow_and_update();
+        let session_and_backoff = async {
+            let Err(failure) = follower.run_session(current_address).await;
+            tokio::time::sleep(follower.record_failure(&failure)).await;
         };
         tokio::select! {
-            () = try_one => {}
-            // Danger: what the new agent has counts as told soon, so neither an open watch at the old one nor
-            // a wait is sat out. It may number its versions in its own way.
+            () = session_and_backoff => {}
+            // After a change of address, the new agent's state counts as known to this gateway soon, so neither a
+            // watch open at the old address nor a backoff delay is waited out. The new agent may number its lists
+            // differently.
             Ok(()) = address.changed() => {
-                (follower.held, follower.newest) = (None, None);
-                (follower.failures, follower.silences) = (0, 0);
+                (follower.held_index, follower.newest_index) = (None, None);
+                (follower.consecutive_failures, follower.consecutive_timeouts) = (0, 0);
             }
         }
     }
 }
 
 impl<S: Subscriber> Follower<S> {
-    /// Takes in that a call told nothing; returns how long to wait before the next one.
-    fn failed(&mut self, why: &Failure) -> Duration {
-        // Danger: silence or rubbish is no empty list; what is held stays in force.
+    /// Records a call that returned no list; returns how long to wait before the next call.
+    fn record_failure(&mut self, failure: &Failure) -> Duration {
+        // A timeout or an unreadable response is not an empty list: the lists held stay in force.
         self.subscriber.call_failed();
-        if self.logged.is_none_or(|at| at.elapsed() >= LOG_EVERY) {
-            log::warn!("discovery: {why}");
-            self.logged = Some(Instant::now());
+        if self.last_logged_at.is_none_or(|at| at.elapsed() >= LOG_INTERVAL) {
+            log::warn!("discovery: {failure}");
+            self.last_logged_at = Some(Instant::now());
         }
-        if let Failure::Unreadable(_) = why {
-            self.held = None;
+        if let Failure::Unreadable(_) = failure {
+            self.held_index = None;
         }
-        self.failures += 1;
-        self.silences = if why.trouble() == Trouble::Silent { self.silences + 1 } else { 0 };
-        self.backoff.wait(why.trouble(), self.failures, self.began.elapsed(), self.random.f64())
+        self.consecutive_failures += 1;
+        self.consecutive_timeouts =
+            if failure.kind() == FailureKind::TimedOut { self.consecutive_timeouts + 1 } else { 0 };
+        self.backoff.wait(
+            failure.kind(),
+            self.consecutive_failures,
+            self.call_started_at.elapsed(),
+            self.rng.f64(),
+        )
     }
 
-    /// One connection's worth: the whole list where none is held, then watches from the version that is.
-    /// Danger: a whole list costs discovery work for each of its lines, a hundred of them more than it can do.
-    async fn session(&mut self, address: SocketAddr) -> Result<Infallible, Failure> {
-        self.began = Instant::now();
-        let mut agent = Agent::connect(address, self.limits().connect).await?;
+    /// Uses one connection until it fails: reads the full list if none is held, then watches from the index that
+    /// is held. A full list costs discovery work for each of its lines, and a hundred full lists are more than
+    /// discovery can serve, so it is read only when needed.
+    async fn run_session(&mut self, address: SocketAddr) -> Result<Infallible, Failure> {
+        self.call_started_at = Instant::now();
+        let mut connection = Connection::connect(address, self.next_timeouts().connect).await?;
         loop {
-            let limits = self.limits();
-            let list = match self.held {
-                // The next call goes out at once: within 200 ms it continues the watch.
+            let timeouts = self.next_timeouts();
+            let list = match self.held_index {
+                // The next call is sent at once: within 200 ms it continues the watch.
                 Some(index) => {
-                    let wait = self.watch();
+                    let wait = self.watch_wait();
                     let path = format!("/v1/servers?index={index}&wait={}", wait.as_millis());
-                    agent.ask(&path, wait + limits.overdue).await?
+                    connection.fetch_list(&path, wait + timeouts.watch_margin).await?
                 }
                 None => {
-                    let list = agent.ask("/v1/servers", limits.whole).await?;
+                    let list = connection.fetch_list("/v1/servers", timeouts.full_list).await?;
                     EndpointList { snapshot: true, ..list }
                 }
             };
-            // One that has gone back counts from anew: changes to what it held before mean nothing, and a whole
-            // one may be older than what is held, as that of another agent may be.
-            let back = self.newest.is_none_or(|newest| list.index < newest);
-            (self.failures, self.silences) = (0, 0);
-            self.held = Some(list.index).filter(|_| list.snapshot || !back);
-            if self.held.is_some() {
-                self.newest = self.held;
-                if self.subscriber.list_received(list, back) {
-                    self.held = None;
+            // After the index has gone back, changes relative to an earlier list mean nothing, and a full list
+            // may be older than the one held; the same is true of a full list from another agent.
+            let regressed = self.newest_index.is_none_or(|newest| list.index < newest);
+            (self.consecutive_failures, self.consecutive_timeouts) = (0, 0);
+            self.held_index = Some(list.index).filter(|_| list.snapshot || !regressed);
+            if self.held_index.is_some() {
+                self.newest_index = self.held_index;
+                if self.subscriber.list_received(list, regressed) {
+                    self.held_index = None;
                 }
             }
-            self.began = Instant::now();
+            self.call_started_at = Instant::now();
         }
     }
 
-    /// The time limits of the next call. Danger: the agent's silence hides drains where a list is pushed, which count
-    /// as told at its return: limits grow there only while no backend is known that might drain.
-    fn limits(&self) -> Patience {
-        match self.terms.mode {
-            Discovery::Pushed if self.subscriber.knows_any_backend() => self.patience,
-            _ => self.patience.after(self.silences),
+    /// Returns the timeouts of the next call. In pushed mode, drains that a silent agent hides count as known the
+    /// moment it is back, so the timeouts grow only while no backend is known that might drain.
+    fn next_timeouts(&self) -> CallTimeouts {
+        match self.settings.mode {
+            Discovery::Pushed if self.subscriber.knows_any_backend() => self.timeouts,
+            _ => self.timeouts.after_timeouts(self.consecutive_timeouts),
         }
     }
 
-    /// How long a watch is to wait. Danger: one that was silent may have had news meanwhile: it is asked without
-    /// waiting until it answers, so that silence shows soon. One that turns calls away speaks; where it serves the
-    /// fleet, it gets no call more than it needs.
-    fn watch(&self) -> Duration {
-        let at_once = match self.terms.mode {
-            Discovery::Pushed => self.failures > 0,
-            Discovery::OnRequest { .. } => self.silences > 0,
+    /// Returns how long the next watch is to wait. Discovery may have had news while a call timed out, so the
+    /// next watch asks for an immediate answer until one comes, and continued silence shows soon. A discovery
+    /// that rejects calls is responsive; if it serves the whole fleet, it gets no more calls than needed.
+    fn watch_wait(&self) -> Duration {
+        let immediate = match self.settings.mode {
+            Discovery::Pushed => self.consecutive_failures > 0,
+            Discovery::OnRequest { .. } => self.consecutive_timeouts > 0,
         };
-        if at_once {
-            NO_WAIT
+        if immediate {
+            IMMEDIATE_WAIT
         } else {
-            self.patience.wait
+            self.timeouts.watch_wait
         }
     }
 }
--- a/node/src/discovery/agent.rs
+++ b/node/src/discovery/agent.rs
@@ -1,6 +1,6 @@
-//! One connection to discovery, and the calls over it.
+//! A connection to discovery, and the calls over it.
 
-use super::patience::Trouble;
+use super::patience::FailureKind;
 use crate::endpoints::EndpointList;
 use crate::meter::{Meter, Metered};
 use bytes::Bytes;
@@ -15,34 +15,39 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-const MOST_BYTES: usize = 4 << 20;
+/// The maximum size of a list's body.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-pub(super) struct Agent {
+/// An HTTP/1 connection to discovery or to its local agent, with at most one call in flight.
+pub(super) struct Connection {
     address: SocketAddr,
     sender: http1::SendRequest<Empty<Bytes>>,
-    task: AbortHandle,
+    connection_task: AbortHandle,
 }
 
-/// A connection that has fallen silent is closed with its last call.
-impl Drop for Agent {
+/// Closes the connection, also while a call on it has had no response.
+impl Drop for Connection {
     fn drop(&mut self) {
-        self.task.abort();
+        self.connection_task.abort();
     }
 }
 
-impl Agent {
+impl Connection {
+    /// Connects to `address`; fails after `limit`.
     pub(super) async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, Failure> {
         let stream = timeout(limit, TcpStream::connect(address)).await;
-        let stream = stream.map_err(|_| Failure::Silent("connect: no answer"))?;
+        let stream = stream.map_err(|_| Failure::TimedOut("connect: no answer"))?;
         let stream = stream.map_err(|e| format!("connect: {e}"))?;
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        let (sender, conn) =
+        let (sender, connection) =
             http1::handshake(TokioIo::new(Metered(Meter::new(stream)))).await.map_err(|e| e.to_string())?;
-        let task = tokio::task::spawn_local(conn).abort_handle();
-        Ok(Agent { address, sender, task })
+        let connection_task = tokio::task::spawn_local(connection).abort_handle();
+        Ok(Connection { address, sender, connection_task })
     }
 
-    pub(super) async fn ask(&mut self, path: &str, limit: Duration) -> Result<EndpointList, Failure> {
+    /// Makes one GET call and parses the list in the response; fails if the response is not complete after
+    /// `limit`.
+    pub(super) async fn fetch_list(&mut self, path: &str, limit: Duration) -> Result<EndpointList, Failure> {
         let request = hyper::Request::get(path).header("host", self.address.to_string());
         let request = request.body(Empty::new()).map_err(|e| e.to_string())?;
         let call = async {
@@ -51,51 +56,53 @@
             match answer.status() {
                 StatusCode::OK => {}
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
-                    return Err(Failure::TurnedAway(answer.status()))
+                    return Err(Failure::Overloaded(answer.status()))
                 }
                 other => return Err(Failure::Other(format!("status {other}"))),
             }
-            let body = Limited::new(answer.into_body(), MOST_BYTES).collect().await;
+            let body = Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await;
             Ok(body.map_err(|e| e.to_string())?.to_bytes())
         };
-        let body = timeout(limit, call).await.map_err(|_| Failure::Silent("no answer in time"))??;
+        let body = timeout(limit, call).await.map_err(|_| Failure::TimedOut("no answer in time"))??;
         serde_json::from_slice(&body).map_err(|e| Failure::Unreadable(format!("unreadable list: {e}")))
     }
 }
 
-/// Why a call told nothing.
+/// The reason why a call returned no list.
 pub(super) enum Failure {
-    /// Discovery has more calls than it bears.
-    TurnedAway(StatusCode),
-    /// No answer in time.
-    Silent(&'static str),
-    /// What came is no list: what is held may not be what the agent holds it to be.
+    /// Discovery rejected the call because it is overloaded.
+    Overloaded(StatusCode),
+    /// No answer within the time limit.
+    TimedOut(&'static str),
+    /// The response was not a list. The agent may believe that this gateway has a list which it does not have.
     Unreadable(String),
+    /// The connection or the call failed in any other way.
     Other(String),
 }
 
 impl Failure {
-    pub(super) fn trouble(&self) -> Trouble {
+    /// Returns the kind that decides when to retry.
+    pub(super) fn kind(&self) -> FailureKind {
         match self {
-            Failure::TurnedAway(_) => Trouble::TurnedAway,
-            Failure::Silent(_) => Trouble::Silent,
-            Failure::Unreadable(_) | Failure::Other(_) => Trouble::Broke,
+            Failure::Overloaded(_) => FailureKind::Overloaded,
+            Failure::TimedOut(_) => FailureKind::TimedOut,
+            Failure::Unreadable(_) | Failure::Other(_) => FailureKind::Error,
         }
     }
 }
 
 impl From<String> for Failure {
-    fn from(why: String) -> Self {
-        Failure::Other(why)
+    fn from(message: String) -> Self {
+        Failure::Other(message)
     }
 }
 
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::TurnedAway(status) => write!(f, "turned away: {status}"),
-            Failure::Silent(why) => f.write_str(why),
-            Failure::Unreadable(why) | Failure::Other(why) => f.write_str(why),
+            Failure::Overloaded(status) => write!(f, "turned away: {status}"),
+            Failure::TimedOut(message) => f.write_str(message),
+            Failure::Unreadable(message) | Failure::Other(message) => f.write_str(message),
         }
     }
 }
--- a/node/src/discovery/patience.rs
+++ b/node/src/discovery/patience.rs
@@ -1,127 +1,169 @@
-//! How long a call to discovery may take, and when the next one is made after one that told nothing.
+//! Timeouts of calls to discovery, and the backoff after calls that failed.
 //!
-//! What discovery has to tell counts as told 6 s after it had it and could be reached, whatever became of the calls
-//! before. So every wait here is bounded on its own, whatever the size of the fleet: a call that is swallowed just
-//! before discovery comes back ends within `LONGEST_CALL`, or the next one begins within one and a half
-//! `LONGEST_INTERVAL` of its beginning, and that one is answered.
+//! A gateway counts as informed of a change 6 s after discovery has it and can be reached, whatever became of
+//! earlier calls. So every wait here has a bound of its own that does not depend on the size of the fleet: a call
+//! that gets no answer just before discovery comes back ends within `MAX_CALL_DURATION`, or the next call begins
+//! within one and a half `MAX_CALL_INTERVAL` of its start, and that one is answered.
 
-use super::Terms;
+use super::FollowSettings;
 use caperwind::Discovery;
 use std::time::Duration;
 
-/// The longest that a call may last after failures, and the longest interval between the beginnings of two calls, but
-/// for the half that chance adds.
-pub const LONGEST_CALL: Duration = Duration::from_secs(4);
-pub const LONGEST_INTERVAL: Duration = Duration::from_secs(3);
-/// An answer over the loopback is never overdue sooner.
-const AT_ONCE: Duration = Duration::from_millis(50);
-/// The least wait after a failure.
-const LEAST: Duration = Duration::from_millis(20);
-/// The longest interval of few gateways where discovery has to be asked.
-const FEW: Duration = Duration::from_millis(400);
-/// The same for each gateway of a fleet, and the first interval of each: after a call that was turned away, and
-/// after one that broke. Danger: discovery's line has a bound, and what waits there too long is worked on in vain.
-const EACH: Duration = Duration::from_millis(80);
-const TURNED_AWAY: Duration = Duration::from_millis(20);
-const BROKE: Duration = Duration::from_millis(2);
-/// The first calls of a fleet that has started together with a list in hand are spread over so long for each, and
-/// so long in all.
-const SPREAD: (Duration, Duration) = (Duration::from_millis(20), LONGEST_INTERVAL);
+/// The longest that a call may last after failures.
+pub const MAX_CALL_DURATION: Duration = Duration::from_secs(4);
+/// The longest interval between the starts of two calls, before jitter, which adds up to half of it.
+pub const MAX_CALL_INTERVAL: Duration = Duration::from_secs(3);
+/// The shortest timeout of calls to a local agent: a response over the loopback takes no longer than this.
+const MIN_PUSHED_TIMEOUT: Duration = Duration::from_millis(50);
+/// The shortest wait after a failed call, before jitter.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// The longest interval between calls on request for a small fleet.
+const SMALL_FLEET_MAX_INTERVAL: Duration = Duration::from_millis(400);
+/// The longest interval between calls on request, per gateway of the fleet. Discovery's queue is bounded, and a
+/// call that waits there too long is worked on in vain, so intervals grow with the fleet.
+const MAX_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(80);
+/// The first interval after a call that discovery rejected, per gateway of the fleet.
+const OVERLOADED_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(20);
+/// The first interval after a call that failed otherwise, per gateway of the fleet.
+const ERROR_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(2);
+/// The time over which the first calls of a fleet are spread that has started at once with a list in hand: per
+/// gateway, and the maximum in all.
+const FIRST_CALL_SPREAD: (Duration, Duration) = (Duration::from_millis(20), MAX_CALL_INTERVAL);
 
-/// Why a call told nothing, as far as the next one goes by it.
+/// The kind of a failed call, which decides when the next one is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
-    /// Discovery has more calls than it bears.
-    TurnedAway,
-    /// No answer in time.
-    Silent,
-    /// It broke off, was refused or said what is no list.
-    Broke,
+pub enum FailureKind {
+    /// Discovery rejected the call because it is overloaded.
+    Overloaded,
+    /// No answer within the time limit.
+    TimedOut,
+    /// The connection was refused or broke, or the response was not a list.
+    Error,
 }
 
-/// Time limits of calls. Danger: what an agent of this machine has counts as told, whatever its watch does, and a
-/// watch that has fallen silent is told from one without news by its end alone. Where lists are pushed a call
-/// costs nothing: the end of a silent one, and the next one's answer, come within the shortest grace. Where
-/// discovery is asked, calls are few and wait in its line; what is told counts 2 s after that wait at the latest.
+/// The time limits of calls.
+///
+/// In pushed mode, the state of the local agent counts as known to this gateway whatever becomes of its watch,
+/// and only the end of a watch tells one that gets no answer from one without news. Calls cost nothing there, so
+/// a watch without an answer ends, and the next call is answered, within the shortest drain grace. On request,
+/// calls are few and wait in discovery's queue; a change counts as known at the latest 2 s after that wait.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct CallTimeouts {
+    /// The limit on connecting.
     pub connect: Duration,
-    /// A watch waits this long for news; an answer is overdue this long after it should have come.
-    pub wait: Duration,
-    pub overdue: Duration,
-    pub whole: Duration,
+    /// How long a watch asks discovery to wait for news.
+    pub watch_wait: Duration,
+    /// How long after `watch_wait` a watch without a response is given up.
+    pub watch_margin: Duration,
+    /// The limit on reading the full list.
+    pub full_list: Duration,
 }
 
-/// Where discovery has to be asked.
-const ASKED: Patience = Patience {
+/// The timeouts of calls on request.
+const ON_REQUEST_TIMEOUTS: CallTimeouts = CallTimeouts {
     connect: Duration::from_millis(500),
-    wait: Duration::from_millis(3_500),
-    overdue: Duration::from_millis(1_500),
-    whole: Duration::from_millis(2_500),
+    watch_wait: Duration::from_millis(3_500),
+    watch_margin: Duration::from_millis(1_500),
+    full_list: Duration::from_millis(2_500),
 };
 
-impl Patience {
-    pub fn of(terms: Terms) -> Self {
-        if let Discovery::OnRequest { .. } = terms.mode {
-            return ASKED;
+impl CallTimeouts {
+    /// Returns the timeouts while calls succeed.
+    pub fn new(settings: FollowSettings) -> Self {
+        if let Discovery::OnRequest { .. } = settings.mode {
+            return ON_REQUEST_TIMEOUTS;
         }
-        let soon = pushed_soon(terms.drain_grace);
-        let wait = (terms.drain_grace / 2).clamp(AT_ONCE, ASKED.wait);
-        Patience { connect: soon, wait, overdue: soon, whole: soon }
+        let timeout = pushed_timeout(settings.drain_grace);
+        let wait = (settings.drain_grace / 2).clamp(MIN_PUSHED_TIMEOUT, ON_REQUEST_TIMEOUTS.watch_wait);
+        CallTimeouts { connect: timeout, watch_wait: wait, watch_margin: timeout, full_list: timeout }
     }
 
-    /// The same after so many silent calls in a row. Danger: a discovery that is slow would never be heard by one
-    /// that gives it up at the same point again and again, and would work for it in vain.
-    pub fn after(self, silences: u32) -> Self {
-        let longer =
-            |limit: Duration| limit.saturating_mul(1 << silences.min(8)).min(LONGEST_CALL.max(limit));
-        let connect = longer(self.connect).min(LONGEST_CALL / 2);
-        Patience { connect, wait: self.wait, overdue: longer(self.overdue), whole: longer(self.whole) }
+    /// Returns the timeouts after so many consecutive timeouts, each of which doubles them up to
+    /// `MAX_CALL_DURATION`. With fixed timeouts, a slow discovery would be given up at the same point each time,
+    /// would never be heard and would work in vain.
+    pub fn after_timeouts(self, consecutive_timeouts: u32) -> Self {
+        let extended = |limit: Duration| {
+            limit.saturating_mul(1 << consecutive_timeouts.min(8)).min(MAX_CALL_DURATION.max(limit))
+        };
+        let connect = extended(self.connect).min(MAX_CALL_DURATION / 2);
+        CallTimeouts {
+            connect,
+            watch_wait: self.watch_wait,
+            watch_margin: extended(self.watch_margin),
+            full_list: extended(self.full_list),
+        }
     }
 }
 
-fn pushed_soon(grace: Duration) -> Duration {
-    (grace / 4).clamp(AT_ONCE, ASKED.connect)
+/// Returns the timeout of calls to a local agent.
+fn pushed_timeout(drain_grace: Duration) -> Duration {
+    (drain_grace / 4).clamp(MIN_PUSHED_TIMEOUT, ON_REQUEST_TIMEOUTS.connect)
 }
 
-/// When calls are made while they tell nothing: exponential backoff of their beginnings, with jitter.
+/// Exponential backoff with jitter after failed calls. Intervals are counted between the starts of calls.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    turned_away: Duration,
-    broke: Duration,
-    longest: Duration,
+    /// The first interval after a call that discovery rejected.
+    overloaded_interval: Duration,
+    /// The first interval after a call that failed otherwise.
+    error_interval: Duration,
+    /// The longest interval, before jitter.
+    max_interval: Duration,
 }
 
 impl Backoff {
-    /// Where lists are pushed, the agent belongs to this gateway alone and is asked at no cost: it is asked again
-    /// within the grace. Where discovery is asked, its callers are the fleet: intervals grow with that, up to a
-    /// bound that they keep whatever its size; there a fleet that is turned away makes no more than a sixth more
-    /// calls than one that is served (intervals of 3 s on the mean, watches of 3.5 s).
-    pub fn of(terms: Terms) -> Self {
-        if let Discovery::Pushed = terms.mode {
-            return Backoff { turned_away: LEAST, broke: LEAST, longest: pushed_soon(terms.drain_grace) / 2 };
+    /// Returns the backoff for a mode and size of fleet.
+    ///
+    /// In pushed mode, the agent serves this gateway alone and calls cost nothing: it is called again within the
+    /// drain grace. On request, the whole fleet calls discovery: intervals grow with the fleet, up to a bound
+    /// that does not depend on its size. A fleet whose calls are rejected then makes at most a sixth more calls
+    /// than one that is served (intervals of 3 s on average, watches of 3.5 s).
+    pub fn new(settings: FollowSettings) -> Self {
+        if let Discovery::Pushed = settings.mode {
+            return Backoff {
+                overloaded_interval: MIN_RETRY_DELAY,
+                error_interval: MIN_RETRY_DELAY,
+                max_interval: pushed_timeout(settings.drain_grace) / 2,
+            };
+        }
+        let per_fleet = |per_gateway: Duration| per_gateway.saturating_mul(settings.gateways);
+        let max_interval =
+            per_fleet(MAX_INTERVAL_PER_GATEWAY).clamp(SMALL_FLEET_MAX_INTERVAL, MAX_CALL_INTERVAL);
+        Backoff {
+            overloaded_interval: per_fleet(OVERLOADED_INTERVAL_PER_GATEWAY),
+            error_interval: per_fleet(ERROR_INTERVAL_PER_GATEWAY).max(MIN_RETRY_DELAY),
+            max_interval,
         }
-        let fleet = |each: Duration| each.saturating_mul(terms.gateways);
-        let longest = fleet(EACH).clamp(FEW, LONGEST_INTERVAL);
-        Backoff { turned_away: fleet(TURNED_AWAY), broke: fleet(BROKE).max(LEAST), longest }
     }
 
-    /// How long to wait after the last of so many failures in a row, whose call had lasted so long; `jitter` is from
-    /// 0 to 1. Danger: gateways whose calls fail together come back together, so each waits for a time of its own.
-    pub fn wait(&self, why: Trouble, failures: u32, lasted: Duration, jitter: f64) -> Duration {
-        let first = if why == Trouble::TurnedAway { self.turned_away } else { self.broke };
-        let interval = self.longest.min(first.saturating_mul(1 << failures.saturating_sub(1).min(10)));
+    /// Returns how long to wait after the latest of `consecutive_failures` (at least 1), a call that lasted for
+    /// `call_duration`; `jitter` is from 0 to 1. The jitter keeps gateways whose calls failed together from
+    /// calling again together.
+    pub fn wait(
+        &self,
+        kind: FailureKind,
+        consecutive_failures: u32,
+        call_duration: Duration,
+        jitter: f64,
+    ) -> Duration {
+        let first_interval =
+            if kind == FailureKind::Overloaded { self.overloaded_interval } else { self.error_interval };
+        let interval = self
+            .max_interval
+            .min(first_interval.saturating_mul(1 << consecutive_failures.saturating_sub(1).min(10)));
         let jitter = 0.5 + jitter;
-        interval.mul_f64(jitter).saturating_sub(lasted).max(LEAST.mul_f64(jitter))
+        interval.mul_f64(jitter).saturating_sub(call_duration).max(MIN_RETRY_DELAY.mul_f64(jitter))
     }
 }
 
-/// How long a gateway that starts with a list in hand waits before it asks for news, at `lot` of the spread.
-/// Danger: what the agent holds counts as told at once. Where changes are pushed to it, asking it costs
-/// nothing, and a gateway that waits sends to backends that have long been draining.
-pub fn first_wait(terms: Terms, lot: f64) -> Duration {
-    match terms.mode {
+/// Returns how long a gateway that starts with a list in hand waits before its first call, at `fraction` (0 to 1)
+/// of the spread. In pushed mode it does not wait: the agent's state counts as known at once, calls to it cost
+/// nothing, and a gateway that waits would send to backends that have long been draining.
+pub fn initial_delay(settings: FollowSettings, fraction: f64) -> Duration {
+    match settings.mode {
         Discovery::Pushed => Duration::ZERO,
-        Discovery::OnRequest { .. } => SPREAD.0.saturating_mul(terms.gateways).min(SPREAD.1).mul_f64(lot),
+        Discovery::OnRequest { .. } => {
+            FIRST_CALL_SPREAD.0.saturating_mul(settings.gateways).min(FIRST_CALL_SPREAD.1).mul_f64(fraction)
+        }
     }
 }
--- a/node/src/endpoints.rs
+++ b/node/src/endpoints.rs
@@ -35,13 +35,13 @@
     #[serde(default)]
     pub group: u16,
     pub status: Status,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f64,
     #[serde(default)]
     pub since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -1,5 +1,5 @@
-//! One gateway, two processes: the clients' socket that the platform holds, and what the processes tell
-//! each other while both run, as lines of JSON on a Unix socket in `$TMPDIR`.
+//! Hand-over between the processes of one gateway: the clients' listening socket, which the platform may pass on,
+//! and the messages that the processes exchange while both run, as lines of JSON over a Unix socket in `$TMPDIR`.
 
 mod meeting_point;
 
@@ -7,7 +7,7 @@
 use crate::driver::Shared;
 use crate::endpoints::EndpointList;
 use caperwind::{HandoverState, UnsyncedUnits};
-use meeting_point::MeetingPoint;
+use meeting_point::HandoverListener;
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,222 +24,245 @@
 use tokio::task::{AbortHandle, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// What a predecessor knows is waited for so long: the new process must be ready in 6 s, with or without.
+/// How long a new process waits for its predecessor's state. It has to be ready within 6 s, with or without that
+/// state.
 const STATE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The last words of a process are given so long to leave it.
+/// How long a process that ends waits for its last messages to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// A message longer than this is none of ours.
+/// The maximum size of a message; a longer one fails to parse, which ends the connection.
 const MAX_MESSAGE_BYTES: u64 = 8 << 20;
-/// Who comes must say something this soon: it is to be ready in 6 s, and says so.
-const HELLO_TIMEOUT: Duration = Duration::from_secs(10);
-/// After an error, the next process is let in so much later.
+/// How long a successor may take to send its first message. It has to be ready within 6 s, and says so.
+const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The wait after accepting a connection has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
-/// How often it is looked whether other processes can still find this one.
-const MEETING_POINT_INTERVAL: Duration = Duration::from_secs(1);
-/// Processes of one gateway that are spoken to: one that came before and one that comes after.
+/// How often the process checks that other processes can still find its socket.
+const LISTENER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// The maximum number of processes that this one is connected to: its predecessor and its successor.
 const MAX_PEERS: usize = 2;
 
-/// What one process tells another.
+/// The messages between two processes of a gateway.
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Message {
-    /// The first message to a successor: all that it is to know.
+    /// The first message to a successor: the state that it takes over.
     State(Box<State>),
-    /// The first message of a successor that serves.
+    /// The first message from a successor: it serves clients from now on.
     Serving,
-    Bar {
+    /// An operator has disabled or enabled a backend.
+    #[serde(rename = "bar")]
+    DisableBackend {
+        /// The backend's name in discovery's list.
         name: String,
-        out: bool,
+        /// Whether the backend is disabled from now on.
+        #[serde(rename = "out")]
+        disabled: bool,
     },
+    /// An operator has switched draining on or off.
     Drain {
+        /// Whether the gateway drains from now on.
         on: bool,
     },
-    /// The connections that it holds, of those that all may hold together.
-    Held(OpenConnections),
-    /// The last message of a process that ends.
-    Spent(Vec<UnsyncedUnits>),
+    /// The connections that the sender has open, which count towards the limits of both processes together.
+    #[serde(rename = "held")]
+    OpenConnections(OpenConnections),
+    /// The last message of a process that ends: units that it has not added to the counter.
+    #[serde(rename = "spent")]
+    UnsyncedUnits(Vec<UnsyncedUnits>),
 }
 
+/// The state that a successor takes over.
 #[derive(Serialize, Deserialize)]
 pub struct State {
     list: EndpointList,
-    barred: Vec<String>,
+    #[serde(rename = "barred")]
+    disabled_backends: Vec<String>,
     draining: bool,
-    module: HandoverState,
+    #[serde(rename = "module")]
+    decision_state: HandoverState,
 }
 
-/// The clients' listening socket, which the platform holds for every process of this gateway.
-pub fn inherited(fd: RawFd) -> Result<TcpListener, String> {
-    let held = std::fs::metadata(format!("/proc/self/fd/{fd}")).is_ok_and(|m| m.file_type().is_socket());
-    if !held {
-        return Err(format!("NODE_FD {fd}: no socket"));
+/// Takes over the clients' listening socket that the platform holds for every process of this gateway. Fails if
+/// `fd` is not an open socket. May be called only once.
+pub fn inherited_listener(fd: RawFd) -> Result<TcpListener, String> {
+    let is_socket = std::fs::metadata(format!("/proc/self/fd/{fd}")).is_ok_and(|m| m.file_type().is_socket());
+    if !is_socket {
+        return Err(format!("NODE_FD {fd}: not an open socket"));
     }
-    let listener = adopt(fd);
+    let listener = listener_from_fd(fd);
     listener.set_nonblocking(true).map_err(|e| format!("NODE_FD {fd}: {e}"))?;
     Ok(listener)
 }
 
 #[allow(unsafe_code)]
-fn adopt(fd: RawFd) -> TcpListener {
-    // SAFETY: the caller has found a socket open there. It was inherited, so no part of this process owns
-    // it, and this is called once, at the start: from here on this listener is its one owner.
+fn listener_from_fd(fd: RawFd) -> TcpListener {
+    // SAFETY: the caller has found a socket open at this descriptor. It was inherited, so no part of this process
+    // owns it, and this function is called once, at the start: from here on the listener is its only owner.
     unsafe { TcpListener::from_raw_fd(fd) }
 }
 
-/// The talk with another process.
+/// The connection to another process.
 struct Peer {
-    tell: mpsc::UnboundedSender<String>,
-    /// Whether it has said a message.
-    heard: bool,
+    outgoing: mpsc::UnboundedSender<String>,
+    /// Whether this process has received a message over it.
+    has_sent_message: bool,
     reader: AbortHandle,
     writer: JoinHandle<()>,
 }
 
-/// The other processes of this gateway, as far as they can be reached.
+/// The connections to the other processes of this gateway.
 pub struct Handover {
     driver: Shared,
     path: Option<PathBuf>,
     peers: RefCell<BTreeMap<u64, Peer>>,
-    next: Cell<u64>,
-    /// What the others hold; `None` while there are none.
-    held: watch::Sender<Option<OpenConnections>>,
-    /// The number of a successor that serves.
+    next_peer_id: Cell<u64>,
+    /// The open connections of the other process; `None` while no other process is connected.
+    peer_connections: watch::Sender<Option<OpenConnections>>,
+    /// The id of the peer that serves as this process's successor.
     successor: Cell<Option<u64>>,
-    /// Told when the talk with another process is over.
-    departed: Notify,
+    /// Notified when the connection to a peer has ended.
+    peer_left: Notify,
 }
 
 impl Handover {
-    /// Takes over what a process that runs already knows, and waits for the next one.
+    /// Takes over the state of a process that already runs, if any, then accepts connections from successors.
+    /// Without `path`, there is no hand-over.
     pub async fn join(driver: Shared, path: Option<PathBuf>) -> Rc<Self> {
-        let (peers, next, successor) = (RefCell::default(), Cell::new(0), Cell::new(None));
-        let held = watch::channel(None).0;
-        let departed = Notify::new();
-        let this = Rc::new(Handover { driver, path, peers, next, held, successor, departed });
+        let (peers, next_peer_id, successor) = (RefCell::default(), Cell::new(0), Cell::new(None));
+        let peer_connections = watch::channel(None).0;
+        let peer_left = Notify::new();
+        let this =
+            Rc::new(Handover { driver, path, peers, next_peer_id, peer_connections, successor, peer_left });
         let Some(path) = this.path.clone() else { return this };
-        // Absent, stale, silent or cut off: this process begins with what it has been told at its start.
-        match timeout(STATE_TIMEOUT, this.meet(&path)).await {
+        // If the predecessor is absent or its socket stale, or it does not answer or breaks off, this process
+        // starts from its own configuration.
+        match timeout(STATE_TIMEOUT, this.receive_state(&path)).await {
             Ok(Ok(())) => log::info!("handover: another process of this gateway serves"),
-            Ok(Err(why)) => log::info!("handover: none before this one ({why})"),
-            Err(_) => log::info!("handover: the other process does not answer"),
+            Ok(Err(reason)) => log::info!("handover: started without the state of a predecessor ({reason})"),
+            Err(_) => log::info!("handover: the other process does not answer; started without its state"),
         }
-        tokio::task::spawn_local(this.clone().wait(MeetingPoint::claim(path)));
+        tokio::task::spawn_local(this.clone().accept_peers(HandoverListener::claim(path)));
         this
     }
 
-    /// Told what the others hold, whenever that changes; `None` while there are none.
-    pub fn held(&self) -> watch::Receiver<Option<OpenConnections>> {
-        self.held.subscribe()
+    /// Follows the open connections of the other process; `None` while no other process is connected.
+    pub fn peer_connections(&self) -> watch::Receiver<Option<OpenConnections>> {
+        self.peer_connections.subscribe()
     }
 
-    /// Whether another process serves that goes on after this one.
-    pub fn succeeded(&self) -> bool {
+    /// Returns whether a successor serves that will go on after this process.
+    pub fn has_successor(&self) -> bool {
         self.successor.get().is_some()
     }
 
-    /// Whether another process runs.
-    pub fn paired(&self) -> bool {
+    /// Returns whether any other process of this gateway is connected.
+    pub fn has_peers(&self) -> bool {
         !self.peers.borrow().is_empty()
     }
 
-    /// Tells all others that this process speaks with.
-    pub fn tell(&self, message: &Message) {
-        self.tell_all_but(None, message);
+    /// Sends a message to every connected process.
+    pub fn broadcast(&self, message: &Message) {
+        self.broadcast_except(None, message);
     }
 
-    /// Passes on what one of the others says. Each process speaks with the one before it and the one after it, in a
-    /// row without a ring, so that what goes away from where it came from reaches each of them once.
+    /// Forwards a message from one peer to the others. Processes are connected in a chain (each to its
+    /// predecessor and its successor), never in a ring, so a message that is not sent back reaches each process
+    /// once.
     fn relay(&self, from: u64, message: &Message) {
-        self.tell_all_but(Some(from), message);
+        self.broadcast_except(Some(from), message);
     }
 
-    fn tell_all_but(&self, left_out: Option<u64>, message: &Message) {
-        let line = line(message);
+    fn broadcast_except(&self, excluded: Option<u64>, message: &Message) {
+        let line = encode_line(message);
         let peers = self.peers.borrow();
-        let told = peers.iter().filter(|(id, _)| Some(**id) != left_out);
-        told.for_each(|(_, peer)| drop(peer.tell.send(line.clone())));
+        let recipients = peers.iter().filter(|(id, _)| Some(**id) != excluded);
+        recipients.for_each(|(_, peer)| drop(peer.outgoing.send(line.clone())));
     }
 
-    /// Tells another process what this one leaves. Danger: where two are told, both add it: the one that goes on after
-    /// this one is, or else the one that came last.
-    pub fn hand_over(&self) {
+    /// Sends the units that this process has not added to the counter to exactly one other process, since two
+    /// recipients would both add them: the successor that serves, or else the last connected of those that have
+    /// sent a message, or else the last connected.
+    pub fn send_unsynced_units(&self) {
         let peers = self.peers.borrow();
         let successor = self.successor.get();
-        let heir = peers.iter().max_by_key(|(id, peer)| (successor == Some(**id), peer.heard, **id));
-        if let Some((_, heir)) = heir {
-            drop(heir.tell.send(line(&Message::Spent(self.driver.spent()))));
+        let recipient =
+            peers.iter().max_by_key(|(id, peer)| (successor == Some(**id), peer.has_sent_message, **id));
+        if let Some((_, recipient)) = recipient {
+            drop(recipient.outgoing.send(encode_line(&Message::UnsyncedUnits(self.driver.spent()))));
         }
     }
 
-    /// Ends all talk once everything that was said is written.
-    pub async fn end(&self) {
+    /// Closes all connections once everything queued has been written, or after `FLUSH_TIMEOUT` for each.
+    pub async fn close(&self) {
         let peers = std::mem::take(&mut *self.peers.borrow_mut());
-        // A writer that has nothing left to write ends.
+        // Each writer ends when it has written its queue, since its sender has been dropped.
         let writers: Vec<_> = peers.into_values().map(|peer| peer.writer).collect();
         for writer in writers {
             let _ = timeout(FLUSH_TIMEOUT, writer).await;
         }
     }
 
-    async fn meet(self: &Rc<Self>, path: &Path) -> Result<(), String> {
+    /// Connects to the process at `path` and takes over its state.
+    async fn receive_state(self: &Rc<Self>, path: &Path) -> Result<(), String> {
         let stream = UnixStream::connect(path).await.map_err(|e| e.to_string())?;
         let (from, to) = stream.into_split();
         let mut from = BufReader::new(from);
-        let Message::State(state) = receive(&mut from).await.ok_or("it says nothing that can be read")?
+        let Message::State(state) =
+            receive(&mut from).await.ok_or("the other process sent no readable message")?
         else {
-            return Err("it does not say what it knows".to_owned());
+            return Err("the first message of the other process is not its state".to_owned());
         };
-        let State { list, barred, draining, module } = *state;
+        let State { list, disabled_backends, draining, decision_state } = *state;
         self.driver.backends_known(list);
-        self.driver.inherit(module);
-        barred.iter().for_each(|name| self.driver.bar(name, true));
+        self.driver.inherit(decision_state);
+        disabled_backends.iter().for_each(|name| self.driver.bar(name, true));
         self.driver.drain(draining);
-        self.talk(from, to, true);
+        self.add_peer(from, to, true);
         Ok(())
     }
 
-    /// Tells each process that comes what this one knows, and sees to it that the next one can come.
-    async fn wait(self: Rc<Self>, mut point: MeetingPoint) {
+    /// Sends the state to each successor that connects, and keeps the listening socket in place.
+    async fn accept_peers(self: Rc<Self>, mut listener: HandoverListener) {
         loop {
             tokio::select! {
-                come = point.accept() => match come {
-                    Ok(stream) => self.greet(stream),
+                accepted = listener.accept() => match accepted {
+                    Ok(stream) => self.send_state(stream),
                     Err(_) => sleep(ACCEPT_PAUSE).await,
                 },
-                () = self.departed.notified() => point.restore_after_departure().await,
-                () = sleep(MEETING_POINT_INTERVAL) => point.restore_missing(),
+                () = self.peer_left.notified() => listener.restore_after_departure().await,
+                () = sleep(LISTENER_CHECK_INTERVAL) => listener.restore_missing(),
             }
         }
     }
 
-    /// Tells a process that has come what this one knows.
-    fn greet(self: &Rc<Self>, stream: UnixStream) {
-        if self.peers.borrow().len() >= MAX_PEERS && !self.make_way() {
+    /// Sends this process's state to a successor that has connected.
+    fn send_state(self: &Rc<Self>, stream: UnixStream) {
+        if self.peers.borrow().len() >= MAX_PEERS && !self.drop_silent_peer() {
             return;
         }
-        let (list, barred) = self.driver.listed();
-        let (draining, module) = (self.driver.draining(), self.driver.legacy());
-        let state = Message::State(Box::new(State { list, barred, draining, module }));
+        let (list, disabled_backends) = self.driver.listed();
+        let (draining, decision_state) = (self.driver.draining(), self.driver.legacy());
+        let state = Message::State(Box::new(State { list, disabled_backends, draining, decision_state }));
         let (from, to) = stream.into_split();
-        let tell = self.talk(BufReader::new(from), to, false);
-        drop(tell.send(line(&state)));
+        let outgoing = self.add_peer(BufReader::new(from), to, false);
+        drop(outgoing.send(encode_line(&state)));
     }
 
-    /// Lets go of the first that has said nothing: a process that hangs must not keep another one from its place.
-    fn make_way(&self) -> bool {
-        let silent = self.peers.borrow().iter().find(|(_, o)| !o.heard).map(|(id, _)| *id);
-        silent.inspect(|id| self.leaves(*id)).is_some()
+    /// Disconnects the first peer that has sent no message, so that a process that hangs does not keep another
+    /// one out. Returns whether there was one.
+    fn drop_silent_peer(&self) -> bool {
+        let silent = self.peers.borrow().iter().find(|(_, peer)| !peer.has_sent_message).map(|(id, _)| *id);
+        silent.inspect(|id| self.remove_peer(*id)).is_some()
     }
 
-    /// Keeps up the talk with another process until either ends it.
-    fn talk(
+    /// Adds a peer and starts to read from and write to it, until either side ends the connection.
+    fn add_peer(
         self: &Rc<Self>,
         mut from: BufReader<OwnedReadHalf>,
         mut to: OwnedWriteHalf,
-        heard: bool,
+        has_sent_message: bool,
     ) -> mpsc::UnboundedSender<String> {
-        let id = self.next.replace(self.next.get() + 1);
-        let (tell, mut lines) = mpsc::unbounded_channel::<String>();
+        let id = self.next_peer_id.replace(self.next_peer_id.get() + 1);
+        let (outgoing, mut lines) = mpsc::unbounded_channel::<String>();
         let writer = tokio::task::spawn_local(async move {
             while let Some(line) = lines.recv().await {
                 if to.write_all(line.as_bytes()).await.is_err() {
@@ -249,59 +272,62 @@
         });
         let this = self.clone();
         let reader = tokio::task::spawn_local(async move {
-            let mut patience = if heard { Duration::MAX } else { HELLO_TIMEOUT };
-            while let Ok(Some(message)) = timeout(patience, receive(&mut from)).await {
-                patience = Duration::MAX;
+            let mut message_timeout = if has_sent_message { Duration::MAX } else { FIRST_MESSAGE_TIMEOUT };
+            while let Ok(Some(message)) = timeout(message_timeout, receive(&mut from)).await {
+                message_timeout = Duration::MAX;
                 this.handle(id, message);
             }
-            this.leaves(id);
+            this.remove_peer(id);
         });
-        let peer = Peer { tell: tell.clone(), heard, reader: reader.abort_handle(), writer };
+        let peer =
+            Peer { outgoing: outgoing.clone(), has_sent_message, reader: reader.abort_handle(), writer };
         self.peers.borrow_mut().insert(id, peer);
-        self.changed();
-        tell
+        self.peers_changed();
+        outgoing
     }
 
-    /// The talk with this one is over.
-    fn leaves(&self, id: u64) {
+    /// Disconnects a peer.
+    fn remove_peer(&self, id: u64) {
         let Some(peer) = self.peers.borrow_mut().remove(&id) else { return };
         peer.reader.abort();
         peer.writer.abort();
         self.successor.set(self.successor.get().filter(|s| *s != id));
-        self.changed();
-        self.departed.notify_one();
+        self.peers_changed();
+        self.peer_left.notify_one();
         log::info!("handover: the other process is gone");
     }
 
-    fn changed(&self) {
-        let paired = self.paired();
-        self.held.send_modify(|held| *held = paired.then(|| held.unwrap_or_default()));
-        self.driver.paired(paired);
+    /// Reports to the driver and to the followers of `peer_connections` whether any peer is connected.
+    fn peers_changed(&self) {
+        let has_peers = self.has_peers();
+        self.peer_connections
+            .send_modify(|connections| *connections = has_peers.then(|| connections.unwrap_or_default()));
+        self.driver.paired(has_peers);
     }
 
     fn handle(&self, id: u64, message: Message) {
-        self.peers.borrow_mut().entry(id).and_modify(|o| o.heard = true);
-        if let Message::Bar { .. } | Message::Drain { .. } = &message {
+        self.peers.borrow_mut().entry(id).and_modify(|peer| peer.has_sent_message = true);
+        if let Message::DisableBackend { .. } | Message::Drain { .. } = &message {
             self.relay(id, &message);
         }
         match message {
             Message::Serving => self.successor.set(Some(id)),
-            Message::Bar { name, out } => self.driver.bar(&name, out),
+            Message::DisableBackend { name, disabled } => self.driver.bar(&name, disabled),
             Message::Drain { on } => self.driver.drain(on),
-            Message::Held(held) => drop(self.held.send_replace(Some(held))),
-            Message::Spent(spent) => self.driver.take_over(spent),
-            // Only the first message is one of these.
+            Message::OpenConnections(open) => drop(self.peer_connections.send_replace(Some(open))),
+            Message::UnsyncedUnits(units) => self.driver.take_over(units),
+            // A process takes over state only from the first message of its predecessor.
             Message::State(_) => {}
         }
     }
 }
 
-fn line(message: &Message) -> String {
-    // What can't be said is no message to who hears it.
+fn encode_line(message: &Message) -> String {
+    // If a message can't be serialised, the empty line ends the connection at the other side.
     serde_json::to_string(message).unwrap_or_default() + "\n"
 }
 
-/// The next message; `None` where the talk has ended, or says what is no message.
+/// Reads the next message; `None` if the connection has ended or the line is not a valid message.
 async fn receive(from: &mut BufReader<OwnedReadHalf>) -> Option<Message> {
     let mut line = Vec::new();
     from.take(MAX_MESSAGE_BYTES).read_until(b'\n', &mut line).await.ok()?;
--- a/node/src/handover/meeting_point.rs
+++ b/node/src/handover/meeting_point.rs
@@ -7,64 +7,65 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// Whoever is there takes a connection at once.
+/// A process that is alive accepts a connection at once.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A file, whatever its name.
+/// The device and inode of a file, which identify it whatever its path.
 type FileId = (u64, u64);
 
-fn id_of(path: &Path) -> io::Result<FileId> {
+fn file_id(path: &Path) -> io::Result<FileId> {
     std::fs::symlink_metadata(path).map(|file| (file.dev(), file.ino()))
 }
 
-/// A listener under a name that a newer process may take over.
-pub(super) struct MeetingPoint {
+/// A Unix listener at a path that a newer process may take over.
+pub(super) struct HandoverListener {
     path: PathBuf,
     bound: Option<(UnixListener, FileId)>,
-    /// That it can't be had has been told.
-    told: bool,
+    /// Whether a failure to listen has been logged since the last success.
+    failure_logged: bool,
 }
 
-impl MeetingPoint {
-    /// Takes the place of the process before, whose successor has come.
+impl HandoverListener {
+    /// Takes over the path from the predecessor, which stays connected to this process by then.
     pub fn claim(path: PathBuf) -> Self {
-        let mut point = MeetingPoint { path, bound: None, told: false };
-        point.bind();
-        point
+        let mut listener = HandoverListener { path, bound: None, failure_logged: false };
+        listener.bind();
+        listener
     }
 
-    /// Danger: one that looks for it at this moment must find either, so the new socket moves over the old name.
+    /// Listens at a new socket and moves it over the path. The rename is atomic, so a process that connects at
+    /// this moment finds either the old or the new socket.
     fn bind(&mut self) {
-        let new = self.path.with_extension(format!("{}", std::process::id()));
-        let _ = std::fs::remove_file(&new);
-        let bound = UnixListener::bind(&new).and_then(|listener| {
-            let id = id_of(&new)?;
-            std::fs::rename(&new, &self.path)?;
+        let new_path = self.path.with_extension(format!("{}", std::process::id()));
+        let _ = std::fs::remove_file(&new_path);
+        let bound = UnixListener::bind(&new_path).and_then(|listener| {
+            let id = file_id(&new_path)?;
+            std::fs::rename(&new_path, &self.path)?;
             Ok((listener, id))
         });
         match bound {
-            Ok(bound) => (self.bound, self.told) = (Some(bound), false),
-            Err(why) if !self.told => {
-                log::warn!("handover: {}: {why}; no other process can take over yet", self.path.display());
-                self.told = true;
+            Ok(bound) => (self.bound, self.failure_logged) = (Some(bound), false),
+            Err(error) if !self.failure_logged => {
+                log::warn!("handover: {}: {error}; no other process can take over yet", self.path.display());
+                self.failure_logged = true;
             }
             Err(_) => {}
         }
     }
 
-    /// Makes it anew where it is not there: it could not be made, or the folder was cleaned up.
+    /// Listens again if there is no socket at the path: it could not be created, or the folder was cleaned up.
     pub fn restore_missing(&mut self) {
-        let missing = id_of(&self.path).is_err_and(|e| e.kind() == io::ErrorKind::NotFound);
+        let missing = file_id(&self.path).is_err_and(|e| e.kind() == io::ErrorKind::NotFound);
         if missing || self.bound.is_none() {
             self.bind();
         }
     }
 
-    /// Makes it anew where a process that took its name over is gone. Danger: one that is there keeps it, and whoever
-    /// comes next is told by that one.
+    /// Listens again if a newer process that had taken over the path is gone. If that process is alive, it keeps
+    /// the path and hands over to whichever process comes next.
     pub async fn restore_after_departure(&mut self) {
-        let own = self.bound.as_ref().map(|(_, id)| *id);
-        if id_of(&self.path).ok() == own && own.is_some() {
+        let own_id = self.bound.as_ref().map(|(_, id)| *id);
+        if file_id(&self.path).ok() == own_id && own_id.is_some() {
             return;
         }
         let connect = timeout(CONNECT_TIMEOUT, UnixStream::connect(&self.path)).await;
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The next process that comes; none does while there is no socket.
+    /// Waits for the next process that connects; never returns while there is no socket.
     pub async fn accept(&self) -> io::Result<UnixStream> {
         match &self.bound {
             Some((listener, _)) => listener.accept().await.map(|(stream, _)| stream),
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// Lines a second, of one kind.
-const MAX_LINES: u32 = 10;
+const MAX_LINES_PER_SECOND: u32 = 10;
 const SECOND: Duration = Duration::from_secs(1);
 /// A pipe that can be written to takes so many bytes at once (`PIPE_BUF` on Linux). A longer line is cut.
 const MAX_LINE_BYTES: usize = 4096;
@@ -25,7 +25,7 @@
 
 /// Lines that could not be written since the start, and those that no line has told of.
 static LOST: AtomicU64 = AtomicU64::new(0);
-static LOST_UNTOLD: AtomicU64 = AtomicU64::new(0);
+static LOST_UNREPORTED: AtomicU64 = AtomicU64::new(0);
 
 struct StandardError;
 
@@ -38,14 +38,14 @@
         if !self.enabled(record.metadata()) {
             return;
         }
-        let untold = LOST_UNTOLD.swap(0, Ordering::Relaxed);
+        let untold = LOST_UNREPORTED.swap(0, Ordering::Relaxed);
         let line = match untold {
             0 => record.args().to_string(),
             lost => format!("{} ({lines} lines lost before this one)", record.args(), lines = lost),
         };
         if write_line(line).is_err() {
             LOST.fetch_add(1, Ordering::Relaxed);
-            LOST_UNTOLD.fetch_add(untold + 1, Ordering::Relaxed);
+            LOST_UNREPORTED.fetch_add(untold + 1, Ordering::Relaxed);
         }
     }
 
@@ -103,7 +103,7 @@
 
 impl Default for LimitedLog {
     fn default() -> Self {
-        Self::new(MAX_LINES)
+        Self::new(MAX_LINES_PER_SECOND)
     }
 }
 
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -31,21 +31,21 @@
 type Answer = Response<Full<Bytes>>;
 
 /// What operators may ask of this process.
-pub struct Door {
+pub struct OperatorServer {
     driver: Shared,
     server: Rc<Server>,
     figures: Rc<Figures>,
     others: Rc<Handover>,
-    most: usize,
+    max_connections: usize,
 }
 
-fn say(status: StatusCode, text: &'static str) -> Answer {
+fn text_answer(status: StatusCode, text: &'static str) -> Answer {
     let mut answer = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
     answer
 }
 
-impl Door {
+impl OperatorServer {
     pub fn new(
         driver: Shared,
         server: Rc<Server>,
@@ -53,7 +53,7 @@
         others: Rc<Handover>,
         most: usize,
     ) -> Rc<Self> {
-        Rc::new(Door { driver, server, figures, others, most })
+        Rc::new(OperatorServer { driver, server, figures, others, max_connections: most })
     }
 
     /// Accepts for as long as the program runs. Danger: callers that say nothing must delay no other: the
@@ -66,7 +66,7 @@
                 continue;
             };
             callers.retain(|c| !c.is_finished());
-            while callers.len() >= self.most {
+            while callers.len() >= self.max_connections {
                 let Some(caller) = callers.pop_front() else { break };
                 // Danger: an aborted task holds its socket until the runtime has come to it.
                 caller.abort();
@@ -92,7 +92,7 @@
     async fn answer(&self, request: Request<Incoming>) -> Answer {
         let (head, body) = request.into_parts();
         if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
-            return say(StatusCode::BAD_REQUEST, "broken body\n");
+            return text_answer(StatusCode::BAD_REQUEST, "broken body\n");
         }
         let mut answer = self.call(&head.method, head.uri.path(), head.uri.query());
         answer.headers_mut().insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
@@ -103,17 +103,17 @@
         let wanted = match path {
             "/ready" | "/metrics" => Method::GET,
             "/backends/disable" | "/backends/enable" | "/drain" | "/undrain" => Method::PUT,
-            _ => return say(StatusCode::NOT_FOUND, "no such call\n"),
+            _ => return text_answer(StatusCode::NOT_FOUND, "no such call\n"),
         };
         if *method != wanted {
-            let mut answer = say(StatusCode::METHOD_NOT_ALLOWED, "not this call's method\n");
+            let mut answer = text_answer(StatusCode::METHOD_NOT_ALLOWED, "not this call's method\n");
             let allow = HeaderValue::from_static(if wanted == Method::GET { "GET" } else { "PUT" });
             answer.headers_mut().insert(ALLOW, allow);
             return answer;
         }
         match path {
-            "/ready" if self.server.ready() => say(StatusCode::OK, "ready\n"),
-            "/ready" => say(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            "/ready" if self.server.ready() => text_answer(StatusCode::OK, "ready\n"),
+            "/ready" => text_answer(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => {
                 let mut report = self.figures.report(self.driver.backends());
                 report["guard_violations"] = self.driver.guard().report().into();
@@ -125,25 +125,25 @@
             }
             "/drain" | "/undrain" => {
                 self.driver.drain(path == "/drain");
-                self.others.tell(&Message::Drain { on: path == "/drain" });
+                self.others.broadcast(&Message::Drain { on: path == "/drain" });
                 log::info!("ops: {path}");
-                say(StatusCode::OK, "done\n")
+                text_answer(StatusCode::OK, "done\n")
             }
-            _ => self.bar(query.unwrap_or_default(), path == "/backends/disable"),
+            _ => self.set_backend_disabled(query.unwrap_or_default(), path == "/backends/disable"),
         }
     }
 
-    fn bar(&self, query: &str, out: bool) -> Answer {
+    fn set_backend_disabled(&self, query: &str, out: bool) -> Answer {
         let mut ids = form_urlencoded::parse(query.as_bytes()).filter(|(name, _)| name == "id");
         let (Some((_, id)), None) = (ids.next(), ids.next()) else {
-            return say(StatusCode::BAD_REQUEST, "one id is wanted: ?id=ID\n");
+            return text_answer(StatusCode::BAD_REQUEST, "one id is wanted: ?id=ID\n");
         };
         if !self.driver.knows(&id) {
-            return say(StatusCode::NOT_FOUND, "no backend of this id\n");
+            return text_answer(StatusCode::NOT_FOUND, "no backend of this id\n");
         }
         self.driver.bar(&id, out);
-        self.others.tell(&Message::Bar { name: id.to_string(), out });
+        self.others.broadcast(&Message::DisableBackend { name: id.to_string(), disabled: out });
         log::info!("ops: {id:?} {}", if out { "taken out" } else { "back in" });
-        say(StatusCode::OK, "done\n")
+        text_answer(StatusCode::OK, "done\n")
     }
 }
--- a/node/src/supervisor.rs
+++ b/node/src/supervisor.rs
@@ -11,12 +11,12 @@
 use tokio::time::{sleep, Instant};
 
 /// The first pause before an address is tried again, and the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+const FIRST_RETRY_DELAY: Duration = Duration::from_millis(10);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// How often it is told that an address can't be had yet.
-const TELL_INTERVAL: Duration = Duration::from_secs(1);
+const WARNING_INTERVAL: Duration = Duration::from_secs(1);
 /// A task that has panicked begins anew after this.
-const RESTART_PAUSE: Duration = Duration::from_millis(20);
+const RESTART_DELAY: Duration = Duration::from_millis(20);
 
 /// Runs the tasks that have to last.
 pub struct Supervisor {
@@ -46,14 +46,14 @@
                     return;
                 }
                 this.guard.refused(Violation::TaskPanicked, &format!("{name} begins anew"));
-                sleep(RESTART_PAUSE).await;
+                sleep(RESTART_DELAY).await;
             }
         })
     }
 }
 
 /// Whether waiting can't help.
-fn is_lasting(e: &io::Error) -> bool {
+fn is_permanent(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::PermissionDenied | io::ErrorKind::InvalidInput)
 }
 
@@ -61,20 +61,20 @@
 /// of something for a moment. An error after `limit`, or where waiting can't help.
 pub async fn listen(what: &str, address: SocketAddr, limit: Duration) -> Result<TcpListener, String> {
     let began = Instant::now();
-    let (mut pause, mut told) = (FIRST_PAUSE, None::<Instant>);
+    let (mut pause, mut told) = (FIRST_RETRY_DELAY, None::<Instant>);
     loop {
         let e = match TcpListener::bind(address).await {
             Ok(listener) => return Ok(listener),
             Err(e) => e,
         };
-        if is_lasting(&e) || began.elapsed() >= limit {
+        if is_permanent(&e) || began.elapsed() >= limit {
             return Err(format!("{what} {address}: {e}"));
         }
-        if told.is_none_or(|at| at.elapsed() >= TELL_INTERVAL) {
+        if told.is_none_or(|at| at.elapsed() >= WARNING_INTERVAL) {
             log::warn!("{what} {address}: {e}; tried again");
             told = Some(Instant::now());
         }
         sleep(pause).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        pause = (pause * 2).min(MAX_RETRY_DELAY);
     }
 }
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -307,13 +307,13 @@
         client.call(3);
         let conns = [come(&old.seen).await, come(&old.seen).await, come(&old.seen).await].map(|s| s.conn);
         assert_eq!(conns, [0, 0, 1]);
-        client.counter.move_to(new.address);
+        client.counter.set_address(new.address);
         client.call(4);
         let ends = [client.next().await, client.next().await, client.next().await];
         assert_eq!(ends, [(4, Now(Total(4.0))), (2, Now(Overdue)), (3, Now(Overdue))]);
         // To and back again, twice.
         for address in [old.address, new.address, old.address] {
-            client.counter.move_to(address);
+            client.counter.set_address(address);
         }
         (0..2).for_each(|_| go.send(()).expect("it waits"));
         let mut late = [client.next().await, client.next().await];
@@ -338,10 +338,10 @@
             let mut client = Client::within(LONG, address, "late");
             client.call(1);
             sleep(Duration::from_millis(20)).await;
-            client.counter.move_to(new.address);
+            client.counter.set_address(new.address);
             let old = old.open(named);
             if back {
-                client.counter.move_to(address);
+                client.counter.set_address(address);
             }
             assert_eq!(client.next().await, (1, Now(CounterResult::Total(1.0))));
             let (old, new) = (old.seen.try_iter().count(), new.seen.try_iter().count());
@@ -362,12 +362,12 @@
             if n % 2 == 0 {
                 tokio::task::yield_now().await;
             }
-            client.counter.move_to(fakes[n as usize % 3].address);
+            client.counter.set_address(fakes[n as usize % 3].address);
         }
         for _ in 0..180 {
             client.next().await;
         }
-        client.counter.move_to(fakes[0].address);
+        client.counter.set_address(fakes[0].address);
         (0..20).for_each(|n| client.call(n));
         for _ in 0..20 {
             let (name, end) = client.next().await;
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery that fails in every way it can, over real connections, on a clock that the test drives: what it has to
 //! tell is known within 6 s of the moment at which it has it and can be reached, and no fleet crowds it.
 
-use badgerglade::discovery::patience::{first_wait, Backoff, Patience, Trouble};
-use badgerglade::discovery::{follow, Subscriber, Terms};
+use badgerglade::discovery::patience::{initial_delay, Backoff, CallTimeouts, FailureKind};
+use badgerglade::discovery::{follow, FollowSettings, Subscriber};
 use badgerglade::endpoints::EndpointList;
 use caperwind::Discovery;
 use std::cell::{Cell, RefCell};
@@ -230,7 +230,7 @@
         let address = format!("127.{}.{}.{}:8500", 60 + pid / 250 % 180, 1 + pid % 250, n);
         let address: SocketAddr = address.parse().expect("an address");
         tokio::task::spawn_local(world.clone().run(address));
-        let terms = Terms { mode, gateways: size, drain_grace: GRACE };
+        let terms = FollowSettings { mode, gateways: size, drain_grace: GRACE };
         let told = (0..play).map(|n| {
             let told = Rc::new(Told { index: Cell::new(held.unwrap_or(0)), at: Cell::default() });
             let (sender, address) = watch::channel(address);
@@ -442,29 +442,29 @@
 
 #[test]
 fn a_pushed_list_is_asked_for_at_once_and_others_before_they_count_as_told() {
-    let terms = |mode, gateways| Terms { mode, gateways, drain_grace: GRACE };
+    let terms = |mode, gateways| FollowSettings { mode, gateways, drain_grace: GRACE };
     for gateways in FLEETS {
-        let pushed = first_wait(terms(Discovery::Pushed, gateways), 0.99);
+        let pushed = initial_delay(terms(Discovery::Pushed, gateways), 0.99);
         assert_eq!(pushed, Duration::ZERO, "{gateways} gateways");
         let asked = terms(ASKED, gateways);
-        let longest = first_wait(asked, 1.0);
-        assert!(longest + Patience::of(asked).overdue < TOLD, "{gateways} gateways: {longest:?}");
+        let longest = initial_delay(asked, 1.0);
+        assert!(longest + CallTimeouts::new(asked).watch_margin < TOLD, "{gateways} gateways: {longest:?}");
     }
     let asked = terms(ASKED, 300);
-    assert!(first_wait(asked, 0.9) > first_wait(asked, 0.1), "calls are spread");
+    assert!(initial_delay(asked, 0.9) > initial_delay(asked, 0.1), "calls are spread");
 }
 
 #[test]
 fn silence_is_found_within_the_grace_or_before_what_is_missed_counts_as_told() {
     for grace in [500, 1_000, 2_000, 60_000].map(Duration::from_millis) {
-        let terms = Terms { mode: Discovery::Pushed, gateways: 300, drain_grace: grace };
-        let p = Patience::of(terms);
+        let terms = FollowSettings { mode: Discovery::Pushed, gateways: 300, drain_grace: grace };
+        let p = CallTimeouts::new(terms);
         // The end of a silent watch, a connection that does not come up, a wait, and a call that is answered.
-        let wait = |jitter| Backoff::of(terms).wait(Trouble::Broke, 20, Duration::ZERO, jitter);
-        let anew = p.overdue + p.connect + wait(1.0);
-        assert!(p.wait + p.overdue < grace && anew < grace, "{grace:?}");
-        assert!(p.wait + anew < TOLD, "{grace:?}");
+        let wait = |jitter| Backoff::new(terms).wait(FailureKind::Error, 20, Duration::ZERO, jitter);
+        let anew = p.watch_margin + p.connect + wait(1.0);
+        assert!(p.watch_wait + p.watch_margin < grace && anew < grace, "{grace:?}");
+        assert!(p.watch_wait + anew < TOLD, "{grace:?}");
     }
-    let p = Patience::of(Terms { mode: ASKED, gateways: 300, drain_grace: GRACE });
-    assert!(p.wait + p.overdue < TOLD);
+    let p = CallTimeouts::new(FollowSettings { mode: ASKED, gateways: 300, drain_grace: GRACE });
+    assert!(p.watch_wait + p.watch_margin < TOLD);
 }
