--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -1,4 +1,5 @@
-//! The counter client: one call out per connection, so that a late answer is never another call's.
+//! The client of the counter service. A connection carries one call at a time, so that a late answer is never
+//! taken for that of another call.
 
 use crate::clock::Clock;
 use crate::link::{head_length, Broken, Link, SETTLE};
@@ -11,43 +12,50 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 
-/// The counter closes what has stood idle for about 10 s or less.
+/// How long an idle connection is kept. The counter closes connections that have been idle for about 10 s, or for
+/// less.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a connection is kept for an answer that is late already. Danger: until then the call counts as one
-/// that the counter has: a connection that has gone silent holds its place that long.
+/// How long a connection is kept for an answer that is already late. Until then it counts against the limit on
+/// connections, since the counter may still be working on the call; a connection that never answers is counted
+/// for this long.
 const LATE_ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often the end looks whether calls are out.
+/// How often a closing client checks whether calls are still in flight.
 const END_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// The maximum size of an answer's body.
 const MAX_ANSWER_BYTES: usize = 1024;
 
-/// Who is told what became of calls.
+/// Receives the results of calls to the counter.
 pub trait CallObserver {
-    /// A call's one result.
-    fn call_ended(&self, name: CounterKey, result: CounterResult, elapsed: Micros);
-    /// What became of a call that was told as overdue.
-    fn overdue_call_ended(&self, name: CounterKey, amount: f64, result: CounterResult);
+    /// Called exactly once for each call, with its result and the time that it took in microseconds.
+    fn call_ended(&self, key: CounterKey, result: CounterResult, elapsed: Micros);
+    /// Called with the final result of a call that was reported as overdue. `amount` is the number of units that
+    /// it was to add.
+    fn overdue_call_ended(&self, key: CounterKey, amount: f64, result: CounterResult);
 }
 
-/// Connections to the counter.
+/// A pool of connections to the counter.
 pub struct Counter {
     address: Cell<Option<SocketAddr>>,
-    /// How often the address has changed.
+    /// The number of times that the address has changed.
     address_changes: Cell<u64>,
     call_timeout: Duration,
     max_connections: Cell<usize>,
+    /// The number of connections that are connecting or carry a call.
     open: Cell<usize>,
-    /// Calls whose result has not been told.
+    /// The number of calls whose result has not been reported.
     in_flight: Cell<usize>,
-    /// Starts no more calls.
+    /// Whether no more calls may start.
     closed: Cell<bool>,
-    /// Made since the last move only.
+    /// Idle connections, oldest first, with the time since which each has been idle. All were opened since the
+    /// address last changed.
     idle: RefCell<Vec<(Link, Instant)>>,
 }
 
-/// Counts a connection as open for as long as it lives.
+/// A place among the connections in use, given back when dropped.
 struct Permit(Rc<Counter>);
 
 impl Permit {
+    /// Takes a place; `None` if all are taken or the client is closed.
     fn acquire(counter: &Rc<Counter>) -> Option<Self> {
         let open = counter.open.get() + counter.idle.borrow().len();
         (open < counter.max_connections.get() && !counter.closed.get()).then(|| {
@@ -64,31 +72,35 @@
 }
 
 impl Counter {
+    /// Creates a client for the counter at `address`; without an address, every call fails. Each call may take
+    /// for as long as `limits` says, 80 ms without `limits`.
     pub fn new(address: Option<SocketAddr>, limits: Option<Limits>, max_connections: usize) -> Rc<Self> {
-        let limit = Duration::from_micros(limits.map_or(80_000, |l| l.timeout));
+        let call_timeout = Duration::from_micros(limits.map_or(80_000, |l| l.timeout));
         let (address, max_connections) = (Cell::new(address), Cell::new(max_connections));
-        let (open, in_flight, ended, idle) =
+        let (open, in_flight, closed, idle) =
             (Cell::new(0), Cell::new(0), Cell::new(false), RefCell::default());
         Rc::new(Counter {
             address,
             address_changes: Cell::new(0),
-            call_timeout: limit,
+            call_timeout,
             max_connections,
             open,
             in_flight,
-            closed: ended,
+            closed,
             idle,
         })
     }
 
-    /// From now on holds so many connections at most, once the calls that are out have ended.
+    /// Limits the number of connections. Calls in flight are not cut off, so there may be more until they have
+    /// ended.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         self.idle.borrow_mut().truncate(max_connections.saturating_sub(self.open.get()));
     }
 
-    /// Later calls go to this address. Calls that are out end where they are: none goes out again. Danger: an address
-    /// that was left closes its connections soon: none of before is used again, also after a move back.
+    /// Sends later calls to this address. Calls in flight end on their connections and are not repeated. The old
+    /// address soon closes its connections, so none opened before the change is used again, not even after a
+    /// change back.
     pub fn set_address(&self, address: SocketAddr) {
         if self.address.replace(Some(address)) != Some(address) {
             self.address_changes.set(self.address_changes.get() + 1);
@@ -96,7 +108,8 @@
         }
     }
 
-    /// Starts no more calls, and waits for those that are out, up to a call's time and no longer than `until`.
+    /// Starts no more calls, and waits for those in flight, at most for one call's timeout and no longer than
+    /// `until`.
     pub async fn finish(&self, until: Instant) {
         self.closed.set(true);
         let until = until.min(Instant::now() + self.call_timeout);
@@ -105,13 +118,14 @@
         }
     }
 
-    /// Whether calls are out whose result has not been told.
+    /// Returns whether calls are in flight whose result has not been reported.
     pub fn busy(&self) -> bool {
         self.in_flight.get() > 0
     }
 
-    /// Starts a call.
-    pub fn call<R>(self: &Rc<Self>, results: R, clock: Clock, name: CounterKey, amount: f64, life: Micros)
+    /// Starts a call that adds `amount` units to a key and reads its total. The counter forgets the key after
+    /// `lifetime` (in microseconds). The result is reported to `observer`.
+    pub fn call<R>(self: &Rc<Self>, observer: R, clock: Clock, key: CounterKey, amount: f64, lifetime: Micros)
     where
         R: CallObserver + 'static,
     {
@@ -119,42 +133,45 @@
         self.in_flight.set(self.in_flight.get() + 1);
         tokio::task::spawn_local(async move {
             let until = Instant::now() + counter.call_timeout;
-            let path = format!("/v2/numbers/{:016x}?delta={amount}&life_ms={}", name.0, (life / 1000).max(1));
-            let tell = |result| {
+            let path =
+                format!("/v2/numbers/{:016x}?delta={amount}&life_ms={}", key.0, (lifetime / 1000).max(1));
+            let report = |result| {
                 counter.in_flight.set(counter.in_flight.get() - 1);
-                results.call_ended(name, result, clock.now().saturating_sub(began));
+                observer.call_ended(key, result, clock.now().saturating_sub(began));
             };
             let Some((permit, link)) = counter.checkout(until).await else {
-                return tell(CounterResult::NotAdded);
+                return report(CounterResult::NotAdded);
             };
-            let moves = counter.address_changes.get();
+            let address_changes = counter.address_changes.get();
             let call = send_call(link, &path);
             tokio::pin!(call);
-            // Danger: an answer that comes after the call was given up must not be taken for the next
-            // one's: the connection is not used again before it has come.
+            // An answer that comes after the call was given up must not be taken for that of the next call, so
+            // the connection is not used again before the answer has come.
             let in_time = timeout_at(until, &mut call).await;
             let link = match in_time {
                 Ok((result, link)) => {
-                    tell(result);
+                    report(result);
                     link
                 }
                 Err(_) => {
-                    tell(CounterResult::Overdue);
-                    let (end, link) =
+                    report(CounterResult::Overdue);
+                    let (result, link) =
                         timeout(LATE_ANSWER_TIMEOUT, call).await.unwrap_or((CounterResult::Unanswered, None));
-                    results.overdue_call_ended(name, amount, end);
+                    observer.overdue_call_ended(key, amount, result);
                     link
                 }
             };
             drop(permit);
-            let room = counter.open.get() + counter.idle.borrow().len() < counter.max_connections.get();
-            let again = link.filter(|link| room && link.usable() && counter.address_changes.get() == moves);
-            counter.idle.borrow_mut().extend(again.map(|link| (link, Instant::now())));
+            let has_room = counter.open.get() + counter.idle.borrow().len() < counter.max_connections.get();
+            let reusable = link
+                .filter(|link| has_room && link.usable() && counter.address_changes.get() == address_changes);
+            counter.idle.borrow_mut().extend(reusable.map(|link| (link, Instant::now())));
         });
     }
 
-    /// The longest idle connection that has settled: used in turn, they rest longest, and all that a burst needs stay
-    /// open. A new one takes a round trip of its call's time, and may be one that never comes up.
+    /// Takes the settled connection that has been idle longest. Use in turn gives each the longest time to settle
+    /// and keeps open all that a burst needs. A new connection would cost the call a round trip, and might never
+    /// come up.
     fn reuse(&self) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
         while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= SETTLE) {
@@ -166,23 +183,25 @@
         None
     }
 
-    /// A connection that may be used again, or a new one.
+    /// Returns an idle connection or a new one; `None` if there is none by `until`.
     async fn checkout(self: &Rc<Self>, until: Instant) -> Option<(Permit, Link)> {
         loop {
             if let Some(link) = self.reuse() {
                 return Some((Permit::acquire(self)?, link));
             }
             if let Some(permit) = Permit::acquire(self) {
-                let (moves, address) = (self.address_changes.get(), self.address.get()?);
-                let made = timeout_at(until, Link::connect(address)).await.ok()?;
-                // Danger: one that comes up after a move leads to where nothing new is to go.
-                if moves != self.address_changes.get() {
+                let (address_changes, address) = (self.address_changes.get(), self.address.get()?);
+                let connected = timeout_at(until, Link::connect(address)).await.ok()?;
+                // A connection that came up after a change of address leads to the old one, where no new call may
+                // go.
+                if address_changes != self.address_changes.get() {
                     continue;
                 }
-                return Some((permit, made.ok()?));
+                return Some((permit, connected.ok()?));
             }
-            // Danger: one closed to make room for another is seen by the counter some time later: there would be more
-            // than it holds. Where those that have not settled take up all places, the first of them is waited for.
+            // The counter sees it only some time later when a connection is closed to make room for another, and
+            // would then hold more than its limit. If connections that have not settled take all places, the call
+            // waits for the first of them instead.
             let settled = self.idle.borrow().first().map(|(_, since)| *since + SETTLE)?;
             timeout_at(until, sleep_until(settled)).await.ok()?;
         }
@@ -194,7 +213,7 @@
     }
 }
 
-/// One call; also the connection, where it may be used again.
+/// Makes one call; also returns the connection if it may be used again.
 async fn send_call(mut link: Link, path: &str) -> (CounterResult, Option<Link>) {
     let request = hyper::Request::post(path).header("host", "counter").header("content-length", "0");
     let Ok(request) = request.body(Either::Left(Full::new(Bytes::new()))) else {
@@ -212,8 +231,8 @@
     match (status, total.filter(|v| v.is_finite())) {
         (503 | 400 | 404, _) => (CounterResult::NotAdded, body.is_some().then_some(link)),
         (200, Some(total)) => (CounterResult::Total(total), Some(link)),
-        // Danger: an answer with no number is spoilt. The amount was added, and what else comes on that
-        // connection is anyone's.
+        // An answer without a readable total is corrupt. The amount was added, but whatever else arrives on this
+        // connection can't be assigned to a call.
         _ => (CounterResult::Unanswered, None),
     }
 }
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,5 +1,5 @@
-//! badgerglade: a quota-keeping gateway for order traffic, on real sockets. The program is `process::run`; the rest is
-//! public for the tests and tools of this repository.
+//! badgerglade: a quota-keeping HTTP gateway for order traffic on real sockets. The program runs
+//! [`process::run`]; the other modules are public for the tests and tools of this repository.
 #![deny(unsafe_code)]
 
 pub mod admission;
--- a/node/src/main.rs
+++ b/node/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: one process of a real gateway.
+//! The program: runs one process of a gateway.
 #![deny(unsafe_code)]
 
 use std::process::ExitCode;
@@ -7,8 +7,8 @@
     badgerglade::logging::start();
     match badgerglade::process::run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            log::error!("badgerglade: {why}");
+        Err(error) => {
+            log::error!("badgerglade: {error}");
             ExitCode::FAILURE
         }
     }
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -1,4 +1,5 @@
-//! The operators' door: one call per connection, apart from the clients' listener and its limits.
+//! The operators' HTTP server. It takes one call per connection, and is separate from the clients' listener and
+//! its limits.
 
 use crate::driver::Shared;
 use crate::figures::Figures;
@@ -22,23 +23,25 @@
 use tokio::task::{yield_now, JoinHandle};
 use tokio::time::{sleep, timeout};
 
-/// A call must be over this long after its connection came.
+/// A call must have ended this long after its connection was accepted.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// No call has need of a body; one longer than this is no call.
+/// The maximum size of a call's body. No call needs one, so a longer one is rejected.
 const MAX_BODY_BYTES: usize = 1024;
+/// The maximum size of a call's head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
 type Answer = Response<Full<Bytes>>;
 
-/// What operators may ask of this process.
+/// The server of the calls with which operators watch and control this process.
 pub struct OperatorServer {
     driver: Shared,
     server: Rc<Server>,
     figures: Rc<Figures>,
-    others: Rc<Handover>,
+    handover: Rc<Handover>,
     max_connections: usize,
 }
 
+/// Returns an answer with this status and body.
 fn text_answer(status: StatusCode, text: &'static str) -> Answer {
     let mut answer = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *answer.status_mut() = status;
@@ -46,18 +49,19 @@
 }
 
 impl OperatorServer {
+    /// Creates a server that holds at most `max_connections` connections.
     pub fn new(
         driver: Shared,
         server: Rc<Server>,
         figures: Rc<Figures>,
-        others: Rc<Handover>,
-        most: usize,
+        handover: Rc<Handover>,
+        max_connections: usize,
     ) -> Rc<Self> {
-        Rc::new(OperatorServer { driver, server, figures, others, max_connections: most })
+        Rc::new(OperatorServer { driver, server, figures, handover, max_connections })
     }
 
-    /// Accepts for as long as the program runs. Danger: callers that say nothing must delay no other: the
-    /// one that came first makes way, and has left before the next is let in.
+    /// Accepts connections for as long as the process runs. When all connections are taken, the oldest is closed
+    /// before the next is served, so that callers that send nothing do not keep handover out.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
         loop {
@@ -65,17 +69,18 @@
                 sleep(Duration::from_millis(10)).await;
                 continue;
             };
-            callers.retain(|c| !c.is_finished());
+            callers.retain(|caller| !caller.is_finished());
             while callers.len() >= self.max_connections {
                 let Some(caller) = callers.pop_front() else { break };
-                // Danger: an aborted task holds its socket until the runtime has come to it.
+                // An aborted task holds its socket until the runtime has dropped it.
                 caller.abort();
                 let _ = caller.await;
             }
-            let door = self.clone();
-            let call = async move { drop(timeout(CALL_TIMEOUT, door.serve(stream)).await) };
+            let operator_server = self.clone();
+            let call = async move { drop(timeout(CALL_TIMEOUT, operator_server.serve(stream)).await) };
             callers.push_back(tokio::task::spawn_local(call));
-            // Danger: of many that stand in the line, the first would make way before it was heard at all.
+            // Lets the call run once: if many connections are waiting to be accepted, the first would otherwise
+            // be closed before it was read at all.
             yield_now().await;
         }
     }
@@ -84,11 +89,11 @@
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.answer(request).await) });
         let mut http = http1::Builder::new();
         http.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
-        // An error here is the caller's.
+        // An error here is the caller's fault, or concerns only the caller.
         drop(http.serve_connection(TokioIo::new(Metered(Meter::new(stream))), service).await);
     }
 
-    /// Danger: half a call must do nothing: it counts once its last byte has come.
+    /// Answers a call once its last byte has arrived, so that half a call has no effect.
     async fn answer(&self, request: Request<Incoming>) -> Answer {
         let (head, body) = request.into_parts();
         if Limited::new(body, MAX_BODY_BYTES).collect().await.is_err() {
@@ -100,14 +105,14 @@
     }
 
     fn call(&self, method: &Method, path: &str, query: Option<&str>) -> Answer {
-        let wanted = match path {
+        let expected_method = match path {
             "/ready" | "/metrics" => Method::GET,
             "/backends/disable" | "/backends/enable" | "/drain" | "/undrain" => Method::PUT,
             _ => return text_answer(StatusCode::NOT_FOUND, "no such call\n"),
         };
-        if *method != wanted {
+        if *method != expected_method {
             let mut answer = text_answer(StatusCode::METHOD_NOT_ALLOWED, "not this call's method\n");
-            let allow = HeaderValue::from_static(if wanted == Method::GET { "GET" } else { "PUT" });
+            let allow = HeaderValue::from_static(if expected_method == Method::GET { "GET" } else { "PUT" });
             answer.headers_mut().insert(ALLOW, allow);
             return answer;
         }
@@ -125,15 +130,15 @@
             }
             "/drain" | "/undrain" => {
                 self.driver.drain(path == "/drain");
-                self.others.broadcast(&Message::Drain { on: path == "/drain" });
-                log::info!("ops: {path}");
+                self.handover.broadcast(&Message::Drain { on: path == "/drain" });
+                log::info!("ops: {path} called");
                 text_answer(StatusCode::OK, "done\n")
             }
             _ => self.set_backend_disabled(query.unwrap_or_default(), path == "/backends/disable"),
         }
     }
 
-    fn set_backend_disabled(&self, query: &str, out: bool) -> Answer {
+    fn set_backend_disabled(&self, query: &str, disabled: bool) -> Answer {
         let mut ids = form_urlencoded::parse(query.as_bytes()).filter(|(name, _)| name == "id");
         let (Some((_, id)), None) = (ids.next(), ids.next()) else {
             return text_answer(StatusCode::BAD_REQUEST, "one id is wanted: ?id=ID\n");
@@ -141,9 +146,9 @@
         if !self.driver.knows(&id) {
             return text_answer(StatusCode::NOT_FOUND, "no backend of this id\n");
         }
-        self.driver.bar(&id, out);
-        self.others.broadcast(&Message::DisableBackend { name: id.to_string(), disabled: out });
-        log::info!("ops: {id:?} {}", if out { "taken out" } else { "back in" });
+        self.driver.bar(&id, disabled);
+        self.handover.broadcast(&Message::DisableBackend { name: id.to_string(), disabled });
+        log::info!("ops: backend {id:?} {}", if disabled { "disabled" } else { "enabled" });
         text_answer(StatusCode::OK, "done\n")
     }
 }
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -18,40 +18,50 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// After SIGTERM: how long new connections are still taken (they go on coming for up to 0.4 s), until when
-/// connections are closed by an answer, if they have not been idle for long, and how long what was taken may
-/// go on: the longest deadline, counted as this at most, and some more.
+/// How long new connections are accepted after SIGTERM. The platform goes on opening them for up to 0.4 s.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
+/// How long after SIGTERM connections are mainly closed with a response; only those idle for at least
+/// [`LONG_IDLE_TIME`] are closed without one.
 const CLOSE_BY_ANSWER_PERIOD: Duration = Duration::from_millis(1_200);
+/// The idle time from which a connection is closed without a response in that period.
 const LONG_IDLE_TIME: Duration = Duration::from_millis(300);
+/// The upper bound on the longest deadline of the classes, where it sets how long requests may go on after
+/// SIGTERM.
 const MAX_ANSWER_DEADLINE: Duration = Duration::from_secs(3);
+/// The time for requests after that deadline.
 const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(300);
-/// How often each of two processes tells what it holds.
+/// How often each of two processes reports its open connections to the other, if they have changed.
 const SHARING_INTERVAL: Duration = Duration::from_millis(50);
-/// Where another process serves, the list is waited for so long before this one does.
+/// How long this process waits for the first list of backends before it serves, while another process serves.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// How long a response may bring no bytes in the last phase of a shutdown before it is cut off, unless it is known
+/// to be long. The same time is left after the limit on requests for their last bytes.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(200);
-/// The clients' address is waited for this long: the process has 30 s to be ready.
+/// How long to try to listen at the clients' address. The process has 30 s to become ready.
 const MAX_LISTEN_WAIT: Duration = Duration::from_secs(20);
-/// Units that the counter has not been told of are given so long to get there.
+/// How long a process that ends without a successor tries to add its remaining units to the counter.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often it checks whether they have been added.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(5);
-/// How often an ending process looks whether it is done.
+/// How often an ending process checks whether it is done.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs until the process is told to end; the error is one plain line.
+/// Runs the process until SIGTERM has ended it. The error, one line, says why it could not start.
 pub fn run() -> Result<(), String> {
-    // Danger: a LocalSet beside the runtime writes to a descriptor at each wake-up, and polls once more.
+    // A LocalSet on top of the runtime would write to a descriptor at each wake-up and poll once more.
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
     runtime.map_err(|e| format!("runtime: {e}"))?.block_on(serve())
 }
 
+/// Starts all tasks, waits for SIGTERM and shuts down.
 async fn serve() -> Result<(), String> {
-    // Danger: unhandled, either signal ends the process. Handlers come first and stay to the end.
+    // Without a handler, either signal would end the process at once, so the handlers are installed first and
+    // kept to the end.
     let mut term = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let setup = Setup::from_env()?;
-    let (alone, paired, descriptors) = (setup.solo_limits, setup.paired_limits, setup.max_descriptors);
+    let (solo_limits, paired_limits, max_descriptors) =
+        (setup.solo_limits, setup.paired_limits, setup.max_descriptors);
     let listener = match setup.inherited_listener_fd {
         Some(fd) => {
             handover::inherited_listener(fd).and_then(|l| TcpListener::from_std(l).map_err(|e| e.to_string()))
@@ -59,9 +69,9 @@
         None => supervisor::listen("listen", setup.listen, MAX_LISTEN_WAIT).await,
     }?;
     let pool = Pool::new(&setup);
-    let counter = Counter::new(setup.counter, setup.decision_config.counter, alone.counter);
+    let counter = Counter::new(setup.counter, setup.decision_config.counter, solo_limits.counter);
     let figures = figures::Figures::new(&setup.decision_config);
-    let last_answer = answer_period(&setup.decision_config);
+    let answer_limit = answer_period(&setup.decision_config);
     let driver = driver::Shared::new(
         setup.decision_config,
         setup.seed,
@@ -69,10 +79,11 @@
         counter.clone(),
         figures.reasons.clone(),
     )?;
-    // The module begins with the list it last had, an empty one if none.
-    let none = endpoints::EndpointList { index: 0, snapshot: true, endpoints: Vec::new() };
-    let known = setup.initial_list.as_ref().filter(|list| !list.endpoints.is_empty()).map(|list| list.index);
-    driver.backends_known(setup.initial_list.unwrap_or(none));
+    // The decision module starts with the list from the configuration, or with an empty one.
+    let empty_list = endpoints::EndpointList { index: 0, snapshot: true, endpoints: Vec::new() };
+    let known_index =
+        setup.initial_list.as_ref().filter(|list| !list.endpoints.is_empty()).map(|list| list.index);
+    driver.backends_known(setup.initial_list.unwrap_or(empty_list));
     let supervisor = Supervisor::new(pool.guard.clone());
     let timers = driver.clone();
     supervisor.run("timers", move || {
@@ -80,139 +91,149 @@
         async move { timers.keep_time().await }
     });
 
-    let bodies = Budget::new(setup.max_body_bytes);
-    let server = Server::new(driver.clone(), figures.clone(), alone.clients, bodies);
-    let others = Handover::join(driver.clone(), setup.handover_socket).await;
+    let body_budget = Budget::new(setup.max_body_bytes);
+    let server = Server::new(driver.clone(), figures.clone(), solo_limits.clients, body_budget);
+    let handover = Handover::join(driver.clone(), setup.handover_socket).await;
     if let Some(address) = setup.ops {
         let ops = ops::OperatorServer::new(
             driver.clone(),
             server.clone(),
             figures,
-            others.clone(),
+            handover.clone(),
             setup.max_operator_connections,
         );
-        // Clients are served also while operators can't call.
+        // Clients are served even while the operators' address is not available.
         supervisor.run("ops", move || {
             let ops = ops.clone();
             async move {
                 match supervisor::listen("ops", address, Duration::MAX).await {
                     Ok(listener) => ops.accept(listener).await,
-                    Err(why) => log::error!("{why}; operators can't call"),
+                    Err(error) => log::error!("{error}; the operator interface is not available"),
                 }
             }
         });
     }
-    let (discovery, followed) = watch::channel(setup.discovery);
-    // What another process has handed over is checked against the whole list.
-    let held = known.filter(|_| !others.has_peers());
-    let terms = discovery::FollowSettings::from_config(driver.module());
-    let follower = driver.clone();
+    let (discovery_sender, discovery_address) = watch::channel(setup.discovery);
+    // A list taken over from another process may be incomplete or old, so discovery is asked for the full list.
+    let held_index = known_index.filter(|_| !handover.has_peers());
+    let settings = discovery::FollowSettings::from_config(driver.module());
+    let subscriber = driver.clone();
     supervisor.run("discovery", move || {
-        discovery::follow(followed.clone(), follower.clone(), terms, held, setup.seed)
+        discovery::follow(discovery_address.clone(), subscriber.clone(), settings, held_index, setup.seed)
     });
-    let watched = server.clone();
-    supervisor.run("connections", move || watched.clone().watch());
-    let (sharing, sharer, shared_counter) = (others.clone(), server.clone(), counter.clone());
+    let watched_server = server.clone();
+    supervisor.run("connections", move || watched_server.clone().watch());
+    let (limits_handover, limits_server, limits_counter) =
+        (handover.clone(), server.clone(), counter.clone());
     supervisor.run("bounds", move || {
         share_connection_limits(
-            alone,
-            paired,
-            sharing.clone(),
-            sharer.clone(),
+            solo_limits,
+            paired_limits,
+            limits_handover.clone(),
+            limits_server.clone(),
             pool.clone(),
-            shared_counter.clone(),
+            limits_counter.clone(),
         )
     });
-    let (first, accepts, serving) = (driver.clone(), server.clone(), others.clone());
-    let (stop, last) = watch::channel(false);
+    let (accept_driver, accept_server, accept_handover) = (driver.clone(), server.clone(), handover.clone());
+    let (stop_sender, stop_accepting) = watch::channel(false);
     let listener = Rc::new(listener);
     let accept = supervisor.run("accept", move || {
-        let (first, accepts, serving) = (first.clone(), accepts.clone(), serving.clone());
-        let (listener, last) = (listener.clone(), last.clone());
+        let (accept_driver, accept_server, accept_handover) =
+            (accept_driver.clone(), accept_server.clone(), accept_handover.clone());
+        let (listener, stop_accepting) = (listener.clone(), stop_accepting.clone());
         async move {
-            // Another process serves: there is time to hear what discovery says now.
-            if serving.has_peers() {
-                let _ = timeout(FIRST_LIST_TIMEOUT, first.first_list()).await;
+            // While another process serves, there is time to read the current list from discovery.
+            if accept_handover.has_peers() {
+                let _ = timeout(FIRST_LIST_TIMEOUT, accept_driver.first_list()).await;
             }
-            // One that ends does not go on after the others.
-            if !first.closing() {
-                serving.broadcast(&Message::Serving);
+            // A process that is shutting down must not present itself as a successor.
+            if !accept_driver.closing() {
+                accept_handover.broadcast(&Message::Serving);
             }
-            accepts.accept(&listener, last).await;
+            accept_server.accept(&listener, stop_accepting).await;
         }
     });
-    log::info!("{}: listening on {}, {descriptors} descriptors", setup.name, setup.listen);
+    log::info!("{}: listening on {}, {max_descriptors} descriptors", setup.name, setup.listen);
 
-    // Danger: a reload counts also while the process ends: what it owes the counter goes to where that is now.
-    tokio::task::spawn_local(reload_on_hangup(hangup, discovery, counter.clone()));
+    // Reloads are handled during the shutdown as well, so that the remaining units go to the counter's current
+    // address.
+    tokio::task::spawn_local(reload_on_hangup(hangup, discovery_sender, counter.clone()));
     let _ = term.recv().await;
-    let began = Instant::now();
-    driver.close_within(last_answer.as_micros() as u64);
-    if others.has_successor() {
-        // What still comes is the other process's.
+    let terminated_at = Instant::now();
+    driver.close_within(answer_limit.as_micros() as u64);
+    if handover.has_successor() {
+        // The successor accepts the connections that still come.
         server.succeeded();
-        stop.send_replace(true);
+        stop_sender.send_replace(true);
     }
-    // Danger: the front goes on opening connections for a while, and what comes on them is taken.
+    // The platform goes on opening connections for a while, and requests on them still have to be served.
     sleep(ACCEPT_PERIOD).await;
-    while began.elapsed() < last_answer + LAST_BYTES_TIMEOUT {
+    while terminated_at.elapsed() < answer_limit + LAST_BYTES_TIMEOUT {
         if driver.idle() && server.empty() {
             if accept.is_finished() {
                 break;
             }
-            // What stands in the listener's line by now is the last that comes.
-            stop.send_replace(true);
+            // The connections that are waiting to be accepted now are the last ones.
+            stop_sender.send_replace(true);
         }
-        // Danger: a request may be on its way on any connection that is open. Those in use are closed by an
-        // answer; the longer one has been idle, the less likely it is that one crosses its end.
-        let idle = if began.elapsed() < CLOSE_BY_ANSWER_PERIOD { LONG_IDLE_TIME } else { Duration::ZERO };
-        server.close_idle(idle, CloseReason::Ending);
-        // Danger: an answer that never ends would hold this process until SIGKILL, and its client for longer.
-        if began.elapsed() >= last_answer {
+        // A request may be on its way on any open connection. Connections in use are closed with a response. The
+        // longer a connection has been idle, the less likely it is that a request crosses its end.
+        let min_idle =
+            if terminated_at.elapsed() < CLOSE_BY_ANSWER_PERIOD { LONG_IDLE_TIME } else { Duration::ZERO };
+        server.close_idle(min_idle, CloseReason::Ending);
+        // A response that never ends would hold this process until SIGKILL, and its client for even longer.
+        if terminated_at.elapsed() >= answer_limit {
             server.cut_unproven(LAST_BYTES_TIMEOUT);
         }
-        // Nothing more is spent, though answers may still flow: no time is lost until they end.
-        if driver.idle() && !others.has_peers() {
+        // No more units are spent from here on, though responses may still be flowing, so the remaining units are
+        // sent now rather than at the end of these responses.
+        if driver.idle() && !handover.has_peers() {
             driver.flush();
         }
         sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
-    let settled_by = began + last_answer + LAST_BYTES_TIMEOUT;
-    if others.has_peers() {
-        // Danger: what is turned away after the last words is added by nobody.
-        counter.finish(settled_by).await;
+    let settle_deadline = terminated_at + answer_limit + LAST_BYTES_TIMEOUT;
+    if handover.has_peers() {
+        // A call rejected after the final message would leave units that nobody adds to the counter, so calls in
+        // flight are awaited first.
+        counter.finish(settle_deadline).await;
     } else {
-        flush_units(&driver, &counter, settled_by.min(Instant::now() + FLUSH_TIMEOUT)).await;
+        flush_units(&driver, &counter, settle_deadline.min(Instant::now() + FLUSH_TIMEOUT)).await;
     }
-    // All requests are settled. Danger: the next process waits for what this one spent, and SIGKILL may come first
-    // where an answer takes long.
-    others.send_unsynced_units();
+    // All requests are settled. The successor waits for the units that this process has not added, and SIGKILL
+    // may come before a slow response has ended, so they are sent before the remaining responses.
+    handover.send_unsynced_units();
     finish_answers(&server).await;
-    others.close().await;
+    handover.close().await;
     server.check_end();
-    // Tasks that are left hold nothing that is owed; they end with the process.
+    // The remaining tasks hold no unsent units or responses; they end with the process.
     std::process::exit(0);
 }
 
-/// Reads the file anew at each SIGHUP, for as long as the process runs.
-async fn reload_on_hangup(mut hangup: Signal, discovery: watch::Sender<SocketAddr>, counter: Rc<Counter>) {
+/// Reads the configuration file again at each SIGHUP.
+async fn reload_on_hangup(
+    mut hangup: Signal,
+    discovery_sender: watch::Sender<SocketAddr>,
+    counter: Rc<Counter>,
+) {
     while hangup.recv().await.is_some() {
         match Reload::from_file() {
-            Ok(new) => {
-                if let Some(to) = new.discovery {
-                    discovery.send_replace(to);
+            Ok(reload) => {
+                if let Some(address) = reload.discovery {
+                    discovery_sender.send_replace(address);
                 }
-                if let Some(to) = new.counter {
-                    counter.set_address(to);
+                if let Some(address) = reload.counter {
+                    counter.set_address(address);
                 }
-                log::info!("reloaded: discovery {:?}, counter {:?}", new.discovery, new.counter);
+                log::info!("reloaded: discovery {:?}, counter {:?}", reload.discovery, reload.counter);
             }
-            Err(why) => log::error!("reload: {why}; the old settings stay"),
+            Err(error) => log::error!("reload: {error}; the previous settings remain in force"),
         }
     }
 }
 
-/// Tells the counter of the units that it has not been told of: no other process of this gateway can.
+/// Adds the remaining units to the counter, since no other process of this gateway can.
 async fn flush_units(driver: &driver::Shared, counter: &Counter, until: Instant) {
     while driver.counts() && Instant::now() < until {
         if !driver.has_unsent() && !counter.busy() {
@@ -223,8 +244,8 @@
     }
 }
 
-/// Passes on what backends are still giving, to the end or as far as SIGKILL lets it. Each connection closes behind
-/// its answer.
+/// Passes on the responses that backends are still sending, until they end, stall or SIGKILL comes. Each
+/// connection is closed after its response.
 async fn finish_answers(server: &Server) {
     let mut last_answered = Instant::now();
     while !server.empty() && last_answered.elapsed() < LAST_BYTES_TIMEOUT {
@@ -238,35 +259,39 @@
     }
 }
 
-/// Keeps to the bounds, which hold for all processes of this gateway together.
+/// Keeps the connections of this process within the limits that all processes of this gateway share, and reports
+/// its open connections to the other process.
 async fn share_connection_limits(
-    alone: ConnectionLimits,
-    paired: ConnectionLimits,
-    others: Rc<Handover>,
+    solo_limits: ConnectionLimits,
+    paired_limits: ConnectionLimits,
+    handover: Rc<Handover>,
     server: Rc<Server>,
     pool: Rc<Pool>,
     counter: Rc<Counter>,
 ) {
-    let (mut held, mut told) = (others.peer_connections(), OpenConnections::default());
+    let (mut peer_connections, mut last_sent) = (handover.peer_connections(), OpenConnections::default());
     loop {
-        let other = *held.borrow_and_update();
-        let bounds = other.map_or(alone, |other| paired.left_by(other));
-        server.hold(bounds.clients);
-        pool.hold(bounds.backends);
-        counter.set_max_connections(bounds.counter);
+        let other = *peer_connections.borrow_and_update();
+        let limits = other.map_or(solo_limits, |other| paired_limits.left_by(other));
+        server.hold(limits.clients);
+        pool.hold(limits.backends);
+        counter.set_max_connections(limits.counter);
         let own = OpenConnections { clients: server.held(), backends: pool.held() };
-        if other.is_some() && own != told {
-            others.broadcast(&Message::OpenConnections(own));
-            told = own;
+        if other.is_some() && own != last_sent {
+            handover.broadcast(&Message::OpenConnections(own));
+            last_sent = own;
         }
-        // While there is another, what is held here may change at any time.
-        let look = if other.is_some() { SHARING_INTERVAL } else { Duration::MAX };
-        let _ = timeout(look, held.changed()).await;
+        // While there is another process, the number of open connections here has to be checked regularly;
+        // otherwise only the appearance of one matters.
+        let interval = if other.is_some() { SHARING_INTERVAL } else { Duration::MAX };
+        let _ = timeout(interval, peer_connections.changed()).await;
     }
 }
 
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s more.
+/// Returns how long requests may go on after SIGTERM. SIGKILL comes no earlier than the longest deadline (counted
+/// as at most 3 s) plus 0.7 s.
 fn answer_period(module: &caperwind::Config) -> Duration {
-    let longest = module.classes.iter().map(|c| Duration::from_micros(c.deadline)).max();
-    longest.map_or(MAX_ANSWER_DEADLINE, |d| d.min(MAX_ANSWER_DEADLINE)) + ANSWER_DEADLINE_MARGIN
+    let longest_deadline = module.classes.iter().map(|class| Duration::from_micros(class.deadline)).max();
+    longest_deadline.map_or(MAX_ANSWER_DEADLINE, |deadline| deadline.min(MAX_ANSWER_DEADLINE))
+        + ANSWER_DEADLINE_MARGIN
 }
