--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -2,7 +2,7 @@
 //! taken for that of another call.
 
 use crate::clock::Clock;
-use crate::link::{head_length, Broken, Link, SETTLE};
+use crate::link::{head_length, Link, SendError, REUSE_DELAY};
 use bytes::Bytes;
 use caperwind::{CounterKey, CounterResult, CounterSettings as Limits, Micros};
 use http_body_util::{BodyExt, Either, Full, Limited};
@@ -174,7 +174,7 @@
     /// come up.
     fn reuse(&self) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= SETTLE) {
+        while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= REUSE_DELAY) {
             let (link, since) = idle.remove(at);
             if link.usable() && since.elapsed() < IDLE_TIMEOUT {
                 return Some(link);
@@ -202,7 +202,7 @@
             // The counter sees it only some time later when a connection is closed to make room for another, and
             // would then hold more than its limit. If connections that have not settled take all places, the call
             // waits for the first of them instead.
-            let settled = self.idle.borrow().first().map(|(_, since)| *since + SETTLE)?;
+            let settled = self.idle.borrow().first().map(|(_, since)| *since + REUSE_DELAY)?;
             timeout_at(until, sleep_until(settled)).await.ok()?;
         }
     }
@@ -222,7 +222,7 @@
     let length = head_length(&request);
     let answer = match link.send(request, || Some(length)).await {
         Ok(answer) => answer,
-        Err(Broken { written: true }) => return (CounterResult::Unanswered, None),
+        Err(SendError { fully_written: true }) => return (CounterResult::Unanswered, None),
         Err(_) => return (CounterResult::NotAdded, None),
     };
     let status = answer.status().as_u16();
--- a/node/src/discovery/agent.rs
+++ b/node/src/discovery/agent.rs
@@ -2,7 +2,7 @@
 
 use super::patience::FailureKind;
 use crate::endpoints::EndpointList;
-use crate::meter::{Meter, Metered};
+use crate::meter::{Meter, MeteredStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1;
@@ -39,8 +39,9 @@
         let stream = stream.map_err(|_| Failure::TimedOut("connect: no answer"))?;
         let stream = stream.map_err(|e| format!("connect: {e}"))?;
         stream.set_nodelay(true).map_err(|e| e.to_string())?;
-        let (sender, connection) =
-            http1::handshake(TokioIo::new(Metered(Meter::new(stream)))).await.map_err(|e| e.to_string())?;
+        let (sender, connection) = http1::handshake(TokioIo::new(MeteredStream(Meter::new(stream))))
+            .await
+            .map_err(|e| e.to_string())?;
         let connection_task = tokio::task::spawn_local(connection).abort_handle();
         Ok(Connection { address, sender, connection_task })
     }
--- a/node/src/discovery/patience.rs
+++ b/node/src/discovery/patience.rs
@@ -74,8 +74,8 @@
             return ON_REQUEST_TIMEOUTS;
         }
         let timeout = pushed_timeout(settings.drain_grace);
-        let wait = (settings.drain_grace / 2).clamp(MIN_PUSHED_TIMEOUT, ON_REQUEST_TIMEOUTS.watch_wait);
-        CallTimeouts { connect: timeout, watch_wait: wait, watch_margin: timeout, full_list: timeout }
+        let watch_wait = (settings.drain_grace / 2).clamp(MIN_PUSHED_TIMEOUT, ON_REQUEST_TIMEOUTS.watch_wait);
+        CallTimeouts { connect: timeout, watch_wait, watch_margin: timeout, full_list: timeout }
     }
 
     /// Returns the timeouts after so many consecutive timeouts, each of which doubles them up to
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -4,7 +4,7 @@
 mod meeting_point;
 
 use crate::config::OpenConnections;
-use crate::driver::Shared;
+use crate::driver::Driver;
 use crate::endpoints::EndpointList;
 use caperwind::{HandoverState, UnsyncedUnits};
 use meeting_point::HandoverListener;
@@ -111,7 +111,7 @@
 
 /// The connections to the other processes of this gateway.
 pub struct Handover {
-    driver: Shared,
+    driver: Driver,
     path: Option<PathBuf>,
     peers: RefCell<BTreeMap<u64, Peer>>,
     next_peer_id: Cell<u64>,
@@ -126,7 +126,7 @@
 impl Handover {
     /// Takes over the state of a process that already runs, if any, then accepts connections from successors.
     /// Without `path`, there is no hand-over.
-    pub async fn join(driver: Shared, path: Option<PathBuf>) -> Rc<Self> {
+    pub async fn join(driver: Driver, path: Option<PathBuf>) -> Rc<Self> {
         let (peers, next_peer_id, successor) = (RefCell::default(), Cell::new(0), Cell::new(None));
         let peer_connections = watch::channel(None).0;
         let peer_left = Notify::new();
@@ -187,7 +187,11 @@
         let recipient =
             peers.iter().max_by_key(|(id, peer)| (successor == Some(**id), peer.has_sent_message, **id));
         if let Some((_, recipient)) = recipient {
-            drop(recipient.outgoing.send(encode_line(&Message::UnsyncedUnits(self.driver.spent()))));
+            drop(
+                recipient
+                    .outgoing
+                    .send(encode_line(&Message::UnsyncedUnits(self.driver.take_unsynced_units()))),
+            );
         }
     }
 
@@ -212,10 +216,10 @@
             return Err("the first message of the other process is not its state".to_owned());
         };
         let State { list, disabled_backends, draining, decision_state } = *state;
-        self.driver.backends_known(list);
-        self.driver.inherit(decision_state);
-        disabled_backends.iter().for_each(|name| self.driver.bar(name, true));
-        self.driver.drain(draining);
+        self.driver.apply_cached_list(list);
+        self.driver.receive_handover(decision_state);
+        disabled_backends.iter().for_each(|name| self.driver.set_backend_disabled(name, true));
+        self.driver.set_draining(draining);
         self.add_peer(from, to, true);
         Ok(())
     }
@@ -239,8 +243,8 @@
         if self.peers.borrow().len() >= MAX_PEERS && !self.drop_silent_peer() {
             return;
         }
-        let (list, disabled_backends) = self.driver.listed();
-        let (draining, decision_state) = (self.driver.draining(), self.driver.legacy());
+        let (list, disabled_backends) = self.driver.backend_snapshot();
+        let (draining, decision_state) = (self.driver.draining(), self.driver.handover_state());
         let state = Message::State(Box::new(State { list, disabled_backends, draining, decision_state }));
         let (from, to) = stream.into_split();
         let outgoing = self.add_peer(BufReader::new(from), to, false);
@@ -302,7 +306,7 @@
         let has_peers = self.has_peers();
         self.peer_connections
             .send_modify(|connections| *connections = has_peers.then(|| connections.unwrap_or_default()));
-        self.driver.paired(has_peers);
+        self.driver.set_other_process_serving(has_peers);
     }
 
     fn handle(&self, id: u64, message: Message) {
@@ -312,10 +316,10 @@
         }
         match message {
             Message::Serving => self.successor.set(Some(id)),
-            Message::DisableBackend { name, disabled } => self.driver.bar(&name, disabled),
-            Message::Drain { on } => self.driver.drain(on),
+            Message::DisableBackend { name, disabled } => self.driver.set_backend_disabled(&name, disabled),
+            Message::Drain { on } => self.driver.set_draining(on),
             Message::OpenConnections(open) => drop(self.peer_connections.send_replace(Some(open))),
-            Message::UnsyncedUnits(units) => self.driver.take_over(units),
+            Message::UnsyncedUnits(units) => self.driver.add_unsynced_units(units),
             // A process takes over state only from the first message of its predecessor.
             Message::State(_) => {}
         }
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -1,10 +1,10 @@
 //! The operators' HTTP server. It takes one call per connection, and is separate from the clients' listener and
 //! its limits.
 
-use crate::driver::Shared;
-use crate::figures::Figures;
+use crate::driver::Driver;
+use crate::figures::Metrics;
 use crate::handover::{Handover, Message};
-use crate::meter::{Meter, Metered};
+use crate::meter::{Meter, MeteredStream};
 use crate::server::Server;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -34,9 +34,9 @@
 
 /// The server of the calls with which operators watch and control this process.
 pub struct OperatorServer {
-    driver: Shared,
+    driver: Driver,
     server: Rc<Server>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     handover: Rc<Handover>,
     max_connections: usize,
 }
@@ -51,17 +51,17 @@
 impl OperatorServer {
     /// Creates a server that holds at most `max_connections` connections.
     pub fn new(
-        driver: Shared,
+        driver: Driver,
         server: Rc<Server>,
-        figures: Rc<Figures>,
+        metrics: Rc<Metrics>,
         handover: Rc<Handover>,
         max_connections: usize,
     ) -> Rc<Self> {
-        Rc::new(OperatorServer { driver, server, figures, handover, max_connections })
+        Rc::new(OperatorServer { driver, server, metrics, handover, max_connections })
     }
 
     /// Accepts connections for as long as the process runs. When all connections are taken, the oldest is closed
-    /// before the next is served, so that callers that send nothing do not keep handover out.
+    /// before the next is served, so that callers that send nothing do not keep others out.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
         loop {
@@ -90,7 +90,7 @@
         let mut http = http1::Builder::new();
         http.keep_alive(false).header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
         // An error here is the caller's fault, or concerns only the caller.
-        drop(http.serve_connection(TokioIo::new(Metered(Meter::new(stream))), service).await);
+        drop(http.serve_connection(TokioIo::new(MeteredStream(Meter::new(stream))), service).await);
     }
 
     /// Answers a call once its last byte has arrived, so that half a call has no effect.
@@ -117,10 +117,10 @@
             return answer;
         }
         match path {
-            "/ready" if self.server.ready() => text_answer(StatusCode::OK, "ready\n"),
+            "/ready" if self.server.is_ready() => text_answer(StatusCode::OK, "ready\n"),
             "/ready" => text_answer(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/metrics" => {
-                let mut report = self.figures.report(self.driver.backends());
+                let mut report = self.metrics.report(self.driver.backend_counts());
                 report["guard_violations"] = self.driver.guard().report().into();
                 report["local_failures"] = self.driver.local_failures().into();
                 report["tasks"] = Handle::current().metrics().num_alive_tasks().into();
@@ -129,7 +129,7 @@
                 answer
             }
             "/drain" | "/undrain" => {
-                self.driver.drain(path == "/drain");
+                self.driver.set_draining(path == "/drain");
                 self.handover.broadcast(&Message::Drain { on: path == "/drain" });
                 log::info!("ops: {path} called");
                 text_answer(StatusCode::OK, "done\n")
@@ -143,10 +143,10 @@
         let (Some((_, id)), None) = (ids.next(), ids.next()) else {
             return text_answer(StatusCode::BAD_REQUEST, "one id is wanted: ?id=ID\n");
         };
-        if !self.driver.knows(&id) {
+        if !self.driver.knows_backend(&id) {
             return text_answer(StatusCode::NOT_FOUND, "no backend of this id\n");
         }
-        self.driver.bar(&id, disabled);
+        self.driver.set_backend_disabled(&id, disabled);
         self.handover.broadcast(&Message::DisableBackend { name: id.to_string(), disabled });
         log::info!("ops: backend {id:?} {}", if disabled { "disabled" } else { "enabled" });
         text_answer(StatusCode::OK, "done\n")
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -70,35 +70,35 @@
     }?;
     let pool = Pool::new(&setup);
     let counter = Counter::new(setup.counter, setup.decision_config.counter, solo_limits.counter);
-    let figures = figures::Figures::new(&setup.decision_config);
+    let metrics = figures::Metrics::new(&setup.decision_config);
     let answer_limit = answer_period(&setup.decision_config);
-    let driver = driver::Shared::new(
+    let driver = driver::Driver::new(
         setup.decision_config,
         setup.seed,
         pool.clone(),
         counter.clone(),
-        figures.reasons.clone(),
+        metrics.reasons.clone(),
     )?;
     // The decision module starts with the list from the configuration, or with an empty one.
     let empty_list = endpoints::EndpointList { index: 0, snapshot: true, endpoints: Vec::new() };
     let known_index =
         setup.initial_list.as_ref().filter(|list| !list.endpoints.is_empty()).map(|list| list.index);
-    driver.backends_known(setup.initial_list.unwrap_or(empty_list));
+    driver.apply_cached_list(setup.initial_list.unwrap_or(empty_list));
     let supervisor = Supervisor::new(pool.guard.clone());
     let timers = driver.clone();
     supervisor.run("timers", move || {
         let timers = timers.clone();
-        async move { timers.keep_time().await }
+        async move { timers.run_timers().await }
     });
 
     let body_budget = Budget::new(setup.max_body_bytes);
-    let server = Server::new(driver.clone(), figures.clone(), solo_limits.clients, body_budget);
+    let server = Server::new(driver.clone(), metrics.clone(), solo_limits.clients, body_budget);
     let handover = Handover::join(driver.clone(), setup.handover_socket).await;
     if let Some(address) = setup.ops {
         let ops = ops::OperatorServer::new(
             driver.clone(),
             server.clone(),
-            figures,
+            metrics,
             handover.clone(),
             setup.max_operator_connections,
         );
@@ -116,13 +116,13 @@
     let (discovery_sender, discovery_address) = watch::channel(setup.discovery);
     // A list taken over from another process may be incomplete or old, so discovery is asked for the full list.
     let held_index = known_index.filter(|_| !handover.has_peers());
-    let settings = discovery::FollowSettings::from_config(driver.module());
+    let settings = discovery::FollowSettings::from_config(driver.config());
     let subscriber = driver.clone();
     supervisor.run("discovery", move || {
         discovery::follow(discovery_address.clone(), subscriber.clone(), settings, held_index, setup.seed)
     });
     let watched_server = server.clone();
-    supervisor.run("connections", move || watched_server.clone().watch());
+    supervisor.run("connections", move || watched_server.clone().watch_connections());
     let (limits_handover, limits_server, limits_counter) =
         (handover.clone(), server.clone(), counter.clone());
     supervisor.run("bounds", move || {
@@ -145,10 +145,10 @@
         async move {
             // While another process serves, there is time to read the current list from discovery.
             if accept_handover.has_peers() {
-                let _ = timeout(FIRST_LIST_TIMEOUT, accept_driver.first_list()).await;
+                let _ = timeout(FIRST_LIST_TIMEOUT, accept_driver.wait_for_first_list()).await;
             }
             // A process that is shutting down must not present itself as a successor.
-            if !accept_driver.closing() {
+            if !accept_driver.shutting_down() {
                 accept_handover.broadcast(&Message::Serving);
             }
             accept_server.accept(&listener, stop_accepting).await;
@@ -161,16 +161,16 @@
     tokio::task::spawn_local(reload_on_hangup(hangup, discovery_sender, counter.clone()));
     let _ = term.recv().await;
     let terminated_at = Instant::now();
-    driver.close_within(answer_limit.as_micros() as u64);
+    driver.begin_shutdown(answer_limit.as_micros() as u64);
     if handover.has_successor() {
         // The successor accepts the connections that still come.
-        server.succeeded();
+        server.set_successor_serving();
         stop_sender.send_replace(true);
     }
     // The platform goes on opening connections for a while, and requests on them still have to be served.
     sleep(ACCEPT_PERIOD).await;
     while terminated_at.elapsed() < answer_limit + LAST_BYTES_TIMEOUT {
-        if driver.idle() && server.empty() {
+        if driver.is_idle() && server.has_no_connections() {
             if accept.is_finished() {
                 break;
             }
@@ -184,11 +184,11 @@
         server.close_idle(min_idle, CloseReason::Ending);
         // A response that never ends would hold this process until SIGKILL, and its client for even longer.
         if terminated_at.elapsed() >= answer_limit {
-            server.cut_unproven(LAST_BYTES_TIMEOUT);
+            server.abort_stalled_answers(LAST_BYTES_TIMEOUT);
         }
         // No more units are spent from here on, though responses may still be flowing, so the remaining units are
         // sent now rather than at the end of these responses.
-        if driver.idle() && !handover.has_peers() {
+        if driver.is_idle() && !handover.has_peers() {
             driver.flush();
         }
         sleep(SHUTDOWN_POLL_INTERVAL).await;
@@ -206,7 +206,7 @@
     handover.send_unsynced_units();
     finish_answers(&server).await;
     handover.close().await;
-    server.check_end();
+    server.check_unanswered_requests();
     // The remaining tasks hold no unsent units or responses; they end with the process.
     std::process::exit(0);
 }
@@ -234,9 +234,9 @@
 }
 
 /// Adds the remaining units to the counter, since no other process of this gateway can.
-async fn flush_units(driver: &driver::Shared, counter: &Counter, until: Instant) {
-    while driver.counts() && Instant::now() < until {
-        if !driver.has_unsent() && !counter.busy() {
+async fn flush_units(driver: &driver::Driver, counter: &Counter, until: Instant) {
+    while driver.uses_counter() && Instant::now() < until {
+        if !driver.has_unsynced_units() && !counter.busy() {
             break;
         }
         driver.flush();
@@ -248,11 +248,11 @@
 /// connection is closed after its response.
 async fn finish_answers(server: &Server) {
     let mut last_answered = Instant::now();
-    while !server.empty() && last_answered.elapsed() < LAST_BYTES_TIMEOUT {
-        server.cut_unproven(LAST_BYTES_TIMEOUT);
-        server.close_behind_answers();
+    while !server.has_no_connections() && last_answered.elapsed() < LAST_BYTES_TIMEOUT {
+        server.abort_stalled_answers(LAST_BYTES_TIMEOUT);
+        server.close_after_answers();
         server.close_idle(Duration::ZERO, CloseReason::Ending);
-        if server.answering() {
+        if server.is_answering() {
             last_answered = Instant::now();
         }
         sleep(SHUTDOWN_POLL_INTERVAL).await;
@@ -273,10 +273,10 @@
     loop {
         let other = *peer_connections.borrow_and_update();
         let limits = other.map_or(solo_limits, |other| paired_limits.left_by(other));
-        server.hold(limits.clients);
-        pool.hold(limits.backends);
+        server.set_max_connections(limits.clients);
+        pool.set_max_connections(limits.backends);
         counter.set_max_connections(limits.counter);
-        let own = OpenConnections { clients: server.held(), backends: pool.held() };
+        let own = OpenConnections { clients: server.connection_count(), backends: pool.open_connections() };
         if other.is_some() && own != last_sent {
             handover.broadcast(&Message::OpenConnections(own));
             last_sent = own;
--- a/node/src/supervisor.rs
+++ b/node/src/supervisor.rs
@@ -47,7 +47,7 @@
                 if !e.is_panic() {
                     return;
                 }
-                supervisor.guard.refused(Violation::TaskPanicked, &format!("task {name} restarted"));
+                supervisor.guard.record(Violation::TaskPanicked, &format!("task {name} restarted"));
                 sleep(RESTART_DELAY).await;
             }
         })
