--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -18,7 +18,7 @@
 const MIN_CONNECTIONS: usize = 8;
 /// The descriptor limit if the file states none, and its upper bound.
 const MAX_DESCRIPTORS: usize = 1024;
-/// The number of concurrent connections of operators.
+/// The maximum number of concurrent connections of operators.
 const MAX_OPERATOR_CONNECTIONS: usize = 8;
 /// The number of connections to the counter while one process runs. The counter allows 32 for each gateway; the
 /// rest is left for connections whose end it has not seen yet.
@@ -120,7 +120,7 @@
     pub inherited_listener_fd: Option<RawFd>,
     /// The path of the Unix socket at which two processes of this gateway find each other, if they can.
     pub handover_socket: Option<PathBuf>,
-    /// The number of concurrent connections of operators.
+    /// The maximum number of concurrent connections of operators.
     pub max_operator_connections: usize,
     /// The number of bytes that request bodies may hold together, and response bodies as many again.
     pub max_body_bytes: usize,
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -44,9 +44,9 @@
 
 impl FollowSettings {
     /// Extracts these settings from the decision module's configuration.
-    pub fn from_config(module: &caperwind::Config) -> Self {
-        let drain_grace = Duration::from_micros(module.drain_grace);
-        FollowSettings { mode: module.discovery, gateways: module.gateways, drain_grace }
+    pub fn from_config(config: &caperwind::Config) -> Self {
+        let drain_grace = Duration::from_micros(config.drain_grace);
+        FollowSettings { mode: config.discovery, gateways: config.gateways, drain_grace }
     }
 }
 
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long new connections are accepted after SIGTERM. The platform goes on opening them for up to 0.4 s.
+/// How long new connections are accepted after SIGTERM. The load balancer goes on opening them for up to 0.4 s.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 /// How long after SIGTERM connections are mainly closed with a response; only those idle for at least
 /// [`LONG_IDLE_TIME`] are closed without one.
@@ -46,7 +46,8 @@
 /// How often an ending process checks whether it is done.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Runs the process until SIGTERM has ended it. The error, one line, says why it could not start.
+/// Runs the process. Returns only if it could not start, with an error of one line that says why; after SIGTERM,
+/// the process exits with status 0 from within.
 pub fn run() -> Result<(), String> {
     // A LocalSet on top of the runtime would write to a descriptor at each wake-up and poll once more.
     let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
@@ -114,7 +115,7 @@
         });
     }
     let (discovery_sender, discovery_address) = watch::channel(setup.discovery);
-    // A list taken over from another process may be incomplete or old, so discovery is asked for the full list.
+    // A list taken over from another process is checked against discovery's full list.
     let held_index = known_index.filter(|_| !handover.has_peers());
     let settings = discovery::FollowSettings::from_config(driver.config());
     let subscriber = driver.clone();
@@ -167,7 +168,7 @@
         server.set_successor_serving();
         stop_sender.send_replace(true);
     }
-    // The platform goes on opening connections for a while, and requests on them still have to be served.
+    // The load balancer goes on opening connections for a while, and requests on them still have to be served.
     sleep(ACCEPT_PERIOD).await;
     while terminated_at.elapsed() < answer_limit + LAST_BYTES_TIMEOUT {
         if driver.is_idle() && server.has_no_connections() {
@@ -290,8 +291,8 @@
 
 /// Returns how long requests may go on after SIGTERM. SIGKILL comes no earlier than the longest deadline (counted
 /// as at most 3 s) plus 0.7 s.
-fn answer_period(module: &caperwind::Config) -> Duration {
-    let longest_deadline = module.classes.iter().map(|class| Duration::from_micros(class.deadline)).max();
+fn answer_period(config: &caperwind::Config) -> Duration {
+    let longest_deadline = config.classes.iter().map(|class| Duration::from_micros(class.deadline)).max();
     longest_deadline.map_or(MAX_ANSWER_DEADLINE, |deadline| deadline.min(MAX_ANSWER_DEADLINE))
         + ANSWER_DEADLINE_MARGIN
 }
--- a/node/src/supervisor.rs
+++ b/node/src/supervisor.rs
@@ -32,7 +32,7 @@
 
     /// Runs a task, and starts it again whenever it panics. Otherwise the process would go on without the task:
     /// it would enforce no deadlines, accept no connections or receive no lists of backends. The handle ends when
-    /// the task has returned.
+    /// the task has returned without a panic.
     pub fn run<F>(
         self: &Rc<Self>,
         name: &'static str,
@@ -47,7 +47,7 @@
                 if !e.is_panic() {
                     return;
                 }
-                supervisor.guard.record(Violation::TaskPanicked, &format!("task {name} restarted"));
+                supervisor.guard.record(Violation::TaskPanicked, &format!("restarting task {name}"));
                 sleep(RESTART_DELAY).await;
             }
         })
