--- a/node/src/backend.rs
+++ b/node/src/backend.rs
@@ -1,4 +1,4 @@
-//! The way to the backends: connections kept for reuse, attempts, probes, load reports.
+//! The client side towards backends: connection pool, attempts, probes and load reports.
 
 mod attempt;
 pub mod load_report;
--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts and probes, each over one connection.
+//! Attempts and probes. Each uses a single connection.
 
 use super::load_report::{parse_billed_units, parse_load_report};
 use super::message::{strip_hop_by_hop, Message, Payload};
@@ -21,23 +21,25 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// An answer in chunks, whose length is not told, is held for so long; what is not whole then is passed on.
-const GATHER_TIME: Duration = Duration::from_millis(25);
-/// It is passed on this long before its request's time ends, at the latest.
+/// How long a chunked response, whose length is unknown, is buffered. If it is not complete by then, it is streamed.
+const MAX_GATHER_TIME: Duration = Duration::from_millis(25);
+/// How long before the request's deadline buffering a chunked response ends at the latest.
 const GATHER_MARGIN: Duration = Duration::from_millis(5);
-/// A probe unanswered by then has failed.
+/// A probe without a response after this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 const LOAD_HEADER: &str = "x-backend-load";
-const BILLED: &str = "billed-units";
-const NOT_RUN: &str = "x-unprocessed";
+const BILLED_UNITS_HEADER: &str = "billed-units";
+const UNPROCESSED_HEADER: &str = "x-unprocessed";
 
-/// What came of an attempt or a probe.
+/// The result of an attempt or a probe.
 pub struct CompletedAttempt {
+    /// How the attempt ended.
     pub outcome: Outcome,
+    /// The load report in the response; empty if there is none.
     pub load: LoadReport,
-    /// The true units of what was served, where the answer tells them.
+    /// The units that the request cost, if the response states them.
     pub billed_units: Option<f64>,
-    /// The answer, where it was served.
+    /// The response, if the outcome is [`Outcome::Ok`].
     pub answer: Option<Response<AnswerBody>>,
 }
 
@@ -47,35 +49,35 @@
     }
 }
 
-/// The client has closed its connection: nothing was sent.
+/// The client closed its connection before the attempt was sent.
 pub struct ClientClosed;
 
-/// How long an attempt has.
+/// The time limits of an attempt.
 pub struct AttemptLimits {
-    /// Its answer is waited for until then.
+    /// The response is waited for until this deadline.
     pub deadline: Deadline,
-    /// It may not begin from then on, however long its connection takes to come up.
+    /// The attempt may only be sent before this time, however long connecting takes.
     pub begin_by: Option<Instant>,
 }
 
 impl AttemptLimits {
-    /// Whether it may not begin any more.
+    /// Returns whether the attempt may no longer be sent.
     fn too_late(&self) -> bool {
         self.begin_by.is_some_and(|by| Instant::now() >= by)
     }
 }
 
-/// What is known of an answer beside itself.
-struct Received {
+/// What belongs to a response apart from its head and body.
+struct ResponseContext {
     id: BackendId,
     connection: Connection,
-    /// The end of its request's time, if it may be passed on to a client.
+    /// The request's deadline, if the response may be passed on to a client.
     deadline: Option<Deadline>,
-    /// The request's body, where it is passed on as it comes.
+    /// The request's body, if it is streamed.
     upload: Option<Rc<UploadSource>>,
 }
 
-/// The connection of an answer that is passed on.
+/// The connection of a streamed response, which returns to the pool afterwards.
 struct PooledConnection {
     pool: Rc<Pool>,
     id: BackendId,
@@ -83,9 +85,9 @@
     upload: Option<Rc<UploadSource>>,
 }
 
-/// Whether all of a request has gone: its connection is of no use before.
+/// Returns whether the whole request has been sent; its connection can't be reused before that.
 fn request_sent(upload: Option<&Rc<UploadSource>>) -> bool {
-    upload.is_none_or(|source| source.framed().is_some())
+    upload.is_none_or(|source| source.framed_length().is_some())
 }
 
 impl AnswerConnection for PooledConnection {
@@ -104,20 +106,24 @@
     }
 }
 
-/// What an answer says of its attempt.
+/// Returns the outcome of an attempt whose response has this head.
 fn outcome_of(head: &Parts) -> Outcome {
-    let not_run = head.headers.get(NOT_RUN).is_some_and(|v| v == "1");
+    let unprocessed = head.headers.get(UNPROCESSED_HEADER).is_some_and(|v| v == "1");
     match head.status {
         StatusCode::OK => Outcome::Ok,
-        // Danger: without that field a 503 may come from a backend that did the work.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_run => Outcome::Full,
+        // Without the `x-unprocessed` field, a 503 or 504 may come from a backend that has processed the request.
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => Outcome::Full,
         _ => Outcome::Error,
     }
 }
 
 impl Pool {
-    /// One attempt: the message goes once, over one connection. Dropping the future closes that
-    /// connection, which is how an attempt is given up.
+    /// Makes one attempt: sends the message once, over one connection. Dropping the future cancels the attempt by
+    /// closing that connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`ClientClosed`] if the client closed its connection before the message was sent.
     pub async fn attempt(
         self: &Rc<Self>,
         id: BackendId,
@@ -125,158 +131,171 @@
         limits: &AttemptLimits,
     ) -> Result<CompletedAttempt, ClientClosed> {
         let deadline = &limits.deadline;
-        // Danger: an attempt that begins after its client has closed is work for nobody, and counts.
+        // An attempt sent after the client has left would do useless work and still be counted.
         if message.client.peer_closed() {
             return Err(ClientClosed);
         }
-        // What can be sent once takes no chance with a connection that may have died unseen.
-        let once = matches!(message.body, Payload::Streamed(_));
-        let mut reused = if once { None } else { self.reuse(id) };
+        // A body that can be sent only once needs a new connection: an idle one may have failed unnoticed.
+        let single_use = matches!(message.body, Payload::Streamed(_));
+        let mut reused = if single_use { None } else { self.take_idle(id) };
         loop {
-            let idle = reused.as_ref().map(|r| r.1);
+            let idle_time = reused.as_ref().map(|r| r.1);
             let mut connection = match reused.take() {
                 Some((connection, _)) => connection,
-                None => match self.open_by(id, limits.begin_by).await {
+                None => match self.open_connection_by(id, limits.begin_by).await {
                     Ok(connection) => connection,
                     Err(outcome) => return Ok(outcome.into()),
                 },
             };
             match connection.link.ready().await {
                 Ok(()) => {}
-                // It had died unseen: the attempt is yet to begin.
-                Err(_) if idle.is_some() => continue,
+                // The idle connection had failed unnoticed and nothing was sent: try another one.
+                Err(_) if idle_time.is_some() => continue,
                 Err(_) => return Ok(Outcome::ConnectFailed.into()),
             }
-            // From here on nothing waits until the attempt is on its way.
+            // There is no await between these checks and sending the attempt, so that they still hold when it is
+            // sent.
             let client_closed = message.client.peer_closed();
             if client_closed {
                 return Err(ClientClosed);
             }
-            // Danger: the window of a repeat may have ended while the connection came up.
+            // The window in which a retry is allowed may have ended while connecting.
             if limits.too_late() {
                 return Ok(Outcome::NotSent.into());
             }
-            // Danger: the backend may have begun to drain, or be elsewhere, since the connection was begun.
-            let era = self.era(id);
-            match era {
+            // The backend may have started to drain or moved to another address since the connection was opened.
+            let generation = self.generation(id);
+            match generation {
                 None => return Ok(Outcome::Full.into()),
-                Some(era) if era != connection.era => continue,
+                Some(generation) if generation != connection.generation => continue,
                 Some(_) => {}
             }
             let left = deadline.get().saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(Outcome::NotSent.into());
             }
-            let told = message.time_to_tell(left);
-            let backend_in_service = era == Some(connection.era);
+            let told = message.advertised_time(left);
+            let backend_in_service = generation == Some(connection.generation);
             let facts = SendFacts { client_closed, backend_in_service, left, told };
             if let Err(violation) = facts.check() {
                 self.guard.refused(violation, &format!("{} {}", message.method, message.target));
                 return Ok(Outcome::NotSent.into());
             }
             let request = message.request(told);
-            let (head, before) = (head_length(&request), connection.link.written());
-            let length = || message.body.framed().map(|body| head + body);
-            match (&message.body, length()) {
-                (Payload::Whole { .. }, Some(n)) => {
-                    connection.link.meter().aim(before + n, self.attempts_written.clone())
-                }
-                (Payload::Streamed(source), _) => {
-                    source.count_in(connection.link.meter(), self.attempts_written.clone(), before + head)
-                }
+            let (head_bytes, written_before) = (head_length(&request), connection.link.written());
+            let request_length = || message.body.framed_length().map(|body_bytes| head_bytes + body_bytes);
+            match (&message.body, request_length()) {
+                (Payload::Whole { .. }, Some(n)) => connection
+                    .link
+                    .meter()
+                    .count_when_written(written_before + n, self.attempts_written.clone()),
+                (Payload::Streamed(source), _) => source.count_when_written(
+                    connection.link.meter(),
+                    self.attempts_written.clone(),
+                    written_before + head_bytes,
+                ),
                 _ => {}
             }
-            match connection.link.send(request, length).await {
+            match connection.link.send(request, request_length).await {
                 Ok(response) => {
-                    let (deadline, upload) = (Some(deadline.clone()), message.body.upload());
-                    let received = Received { id, connection, deadline, upload };
-                    return Ok(self.read(response, received).await);
+                    let (deadline, upload) = (Some(deadline.clone()), message.body.upload_source());
+                    let context = ResponseContext { id, connection, deadline, upload };
+                    return Ok(self.read_response(response, context).await);
                 }
                 Err(SendError { fully_written: true }) => {
-                    // Danger: some let go of an idle connection sooner than they say, and unseen; what is
-                    // written to it may have run for all that is known here.
-                    self.holds.set(
-                        idle.map_or(self.holds.get(), |idle| shortened_idle_timeout(self.holds.get(), idle)),
-                    );
+                    // Some backends close idle connections earlier than announced, and unnoticed here. The request
+                    // may have been processed, so it is not sent again; idle connections are kept for a shorter time.
+                    self.idle_timeout.set(idle_time.map_or(self.idle_timeout.get(), |idle_time| {
+                        shortened_idle_timeout(self.idle_timeout.get(), idle_time)
+                    }));
                     return Ok(Outcome::Reset.into());
                 }
-                // Not a byte went out on a connection that had died unseen: the attempt is yet to begin.
-                Err(_) if idle.is_some() && connection.link.written() == before => continue,
+                // Not a byte was written to an idle connection that had failed unnoticed: try another one.
+                Err(_) if idle_time.is_some() && connection.link.written() == written_before => continue,
                 Err(_) => return Ok(Outcome::ConnectFailed.into()),
             }
         }
     }
 
-    /// A new connection, which is not waited for beyond the time by which an attempt must begin.
-    async fn open_by(&self, id: BackendId, begin_by: Option<Instant>) -> Result<Connection, Outcome> {
+    /// Opens a new connection, giving up at `begin_by`, the time by which the attempt must be sent.
+    async fn open_connection_by(
+        &self,
+        id: BackendId,
+        begin_by: Option<Instant>,
+    ) -> Result<Connection, Outcome> {
         match begin_by {
-            None => self.open(id).await,
-            Some(by) => timeout_at(by, self.open(id)).await.unwrap_or(Err(Outcome::NotSent)),
+            None => self.open_connection(id).await,
+            Some(by) => timeout_at(by, self.open_connection(id)).await.unwrap_or(Err(Outcome::NotSent)),
         }
     }
 
-    /// Reads an answer: to its end where it is small, else its beginning, with the rest to follow. A spoilt one
-    /// may have run.
-    async fn read(self: &Rc<Self>, response: Response<Incoming>, received: Received) -> CompletedAttempt {
+    /// Reads a response: to its end if it is small, otherwise its beginning, with the rest to be streamed. A
+    /// malformed or interrupted response counts as [`Outcome::Reset`], since its request may have been processed.
+    async fn read_response(
+        self: &Rc<Self>,
+        response: Response<Incoming>,
+        context: ResponseContext,
+    ) -> CompletedAttempt {
         let (mut head, body) = response.into_parts();
-        let load = self.load(head.headers.get(LOAD_HEADER).map(|v| v.as_bytes()));
+        let load = self.parse_load(head.headers.get(LOAD_HEADER).map(|v| v.as_bytes()));
         let length = body.size_hint().exact();
-        // No end is waited for that can't be kept, and no other protocol follows what was no offer of one.
+        // A body that is too long is not read, and a protocol switch is refused since none was requested.
         if length.is_some_and(|n| n > MAX_BODY_BYTES) || head.status.is_informational() {
             return CompletedAttempt { load, ..Outcome::Reset.into() };
         }
-        let deadline = received.deadline.clone().filter(|_| head.status == StatusCode::OK);
+        let deadline = context.deadline.clone().filter(|_| head.status == StatusCode::OK);
         let gathered = self.gather(body, length, deadline.as_ref()).await;
         let outcome = outcome_of(&head);
-        let billed = head.headers.get(BILLED).filter(|_| outcome == Outcome::Ok);
-        let billed = billed.and_then(|v| parse_billed_units(v.to_str().ok()?, self.units_top));
+        let billed_units = head.headers.get(BILLED_UNITS_HEADER).filter(|_| outcome == Outcome::Ok);
+        let billed_units = billed_units.and_then(|v| parse_billed_units(v.to_str().ok()?, self.max_units));
         strip_hop_by_hop(&mut head.headers);
         head.headers.remove(LOAD_HEADER);
         let body = match gathered {
             Gathered::Whole(body) => {
-                if request_sent(received.upload.as_ref()) {
-                    self.put_back(received.id, received.connection);
+                if request_sent(context.upload.as_ref()) {
+                    self.put_back(context.id, context.connection);
                 }
                 Either::Left(Full::new(body))
             }
             Gathered::Partial(first, rest) => match deadline {
                 Some(deadline) => {
-                    let Received { id, connection, upload, .. } = received;
+                    let ResponseContext { id, connection, upload, .. } = context;
                     let connection = PooledConnection { pool: self.clone(), id, connection, upload };
                     let connection = Box::new(connection);
                     Either::Right(Download::new(first, rest, deadline, connection))
                 }
-                // What an answer that is none of ours to pass on has to say is not waited for.
+                // The body of a response that is not passed on is not needed.
                 None if outcome != Outcome::Ok => Either::Left(Full::default()),
                 None => return CompletedAttempt { load, ..Outcome::Reset.into() },
             },
             Gathered::Failed => return CompletedAttempt { load, ..Outcome::Reset.into() },
         };
         let answer = (outcome == Outcome::Ok).then(|| Response::from_parts(head, body));
-        CompletedAttempt { outcome, load, billed_units: billed, answer }
+        CompletedAttempt { outcome, load, billed_units, answer }
     }
 
-    /// Gathers an answer that may be small, as far as there is memory for it. One that may be passed on is waited
-    /// for no longer than `GATHER_TIME` where its length is not told, and not up to the end of its request's time:
-    /// that would end its attempt, though its first bytes have come in time.
+    /// Buffers a response that may be small, if there is memory for it. A response of unknown length that may be
+    /// passed on is buffered for at most `MAX_GATHER_TIME` and until `GATHER_MARGIN` before the deadline: buffering
+    /// up to the deadline would time the attempt out although its first bytes have arrived in time.
     async fn gather(&self, body: Incoming, length: Option<u64>, deadline: Option<&Deadline>) -> Gathered {
         let small = length.is_none_or(|n| n <= MAX_BUFFERED_BYTES as u64);
         let bytes = length.and_then(|n| usize::try_from(n).ok()).unwrap_or(MAX_BUFFERED_BYTES);
-        let reservation = if small { self.bodies.reserve(bytes) } else { None };
+        let reservation = if small { self.body_budget.reserve(bytes) } else { None };
         let until = deadline.filter(|_| length.is_none());
-        let until = until.map(|end| (Instant::now() + GATHER_TIME).min(end.get() - GATHER_MARGIN));
+        let until = until.map(|end| (Instant::now() + MAX_GATHER_TIME).min(end.get() - GATHER_MARGIN));
         match reservation {
             Some(_) => gather(body, until).await,
             None => Gathered::Partial(Bytes::new(), body),
         }
     }
 
-    /// Asks a backend how it is, over a new connection. Danger: one is probed because it was ejected,
-    /// and what was open to it may lead to a machine that was cut off: silent, whatever the new one says.
+    /// Probes a backend by requesting its load report over a new connection. Its idle connections are closed: it is
+    /// probed because it was ejected, and they may lead to a machine that has become unreachable and would stay
+    /// silent even if the backend works again.
     pub async fn probe(self: &Rc<Self>, id: BackendId) -> CompletedAttempt {
         self.close_idle(id);
-        let ask = async {
-            let mut connection = match self.open(id).await {
+        let exchange = async {
+            let mut connection = match self.open_connection(id).await {
                 Ok(connection) => connection,
                 Err(outcome) => return outcome.into(),
             };
@@ -289,20 +308,21 @@
                 Err(SendError { fully_written: true }) => return Outcome::Reset.into(),
                 Err(_) => return Outcome::ConnectFailed.into(),
             };
-            let mut finish =
-                self.read(response, Received { id, connection, deadline: None, upload: None }).await;
-            let report = finish.answer.take().filter(|_| finish.load.len == 0);
+            let mut result = self
+                .read_response(response, ResponseContext { id, connection, deadline: None, upload: None })
+                .await;
+            let report = result.answer.take().filter(|_| result.load.len == 0);
             if let Some(Either::Left(report)) = report.map(|r| r.into_body()) {
                 let text = report.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
-                finish.load = self.load(Some(&text));
+                result.load = self.parse_load(Some(&text));
             }
-            finish
+            result
         };
-        timeout(PROBE_TIMEOUT, ask).await.unwrap_or_else(|_| Outcome::Timeout.into())
+        timeout(PROBE_TIMEOUT, exchange).await.unwrap_or_else(|_| Outcome::Timeout.into())
     }
 
-    /// A load report: `TEXT name=value, name=value`. Fields that the settings do not name are passed over.
-    fn load(&self, text: Option<&[u8]>) -> LoadReport {
+    /// Parses a load report, keeping the fields named in the settings.
+    fn parse_load(&self, text: Option<&[u8]>) -> LoadReport {
         parse_load_report(&self.load_fields, text.and_then(|t| std::str::from_utf8(t).ok()).unwrap_or(""))
     }
 }
--- a/node/src/backend/load_report.rs
+++ b/node/src/backend/load_report.rs
@@ -1,19 +1,21 @@
-//! What backends tell of themselves in the fields of their answers.
+//! Parses what backends report about themselves in response header fields.
 
 use caperwind::{LoadField, LoadReport};
 
-/// A figure above this in a load report can't be read for what it is.
+/// The largest value accepted in a load report; anything above it is taken for garbage and ignored.
 const MAX_LOAD: f32 = 1e6;
 
-/// The units that an answer tells. Danger: what is no amount that a request can take would empty or fill
-/// its customer's quota at one stroke; it is passed over, and the guess stands.
-pub fn parse_billed_units(text: &str, most: f64) -> Option<f64> {
-    text.trim().parse::<f64>().ok().filter(|units| (0.0..=most).contains(units))
+/// Parses the units that a response bills. Returns `None` for a value that is not between 0 and `max_units`, the most
+/// that a request can cost: such a value would empty or refill the customer's quota at once. The units estimated
+/// beforehand are kept in that case.
+pub fn parse_billed_units(text: &str, max_units: f64) -> Option<f64> {
+    text.trim().parse::<f64>().ok().filter(|units| (0.0..=max_units).contains(units))
 }
 
-/// A load report: `TEXT name=value, name=value`. Fields that are not asked for are passed over.
+/// Parses a load report of the form `TEXT name=value, name=value`. Names that are not among `fields` and values that
+/// cannot be read are ignored.
 pub fn parse_load_report(fields: &[LoadField], text: &str) -> LoadReport {
-    // A value that is not told is no number: the module must not take it for a zero.
+    // A value that is not reported is NaN, so that the decision module does not take it for zero.
     let mut report = LoadReport { len: 0, values: [f32::NAN; 4] };
     let text = text.trim().trim_start_matches("TEXT");
     for (name, value) in text.split([',', ' ']).filter_map(|pair| pair.split_once('=')) {
@@ -26,11 +28,11 @@
             "eps" | "err_rps" => LoadField::ErrorsPerSecond,
             _ => continue,
         };
-        let place = fields.iter().take(report.values.len()).position(|f| *f == field);
+        let index = fields.iter().take(report.values.len()).position(|f| *f == field);
         let value = value.trim().parse::<f32>().ok().filter(|v| (0.0..=MAX_LOAD).contains(v));
-        if let (Some(at), Some(value)) = (place, value) {
-            report.values[at] = value;
-            report.len = report.len.max(at as u8 + 1);
+        if let (Some(index), Some(value)) = (index, value) {
+            report.values[index] = value;
+            report.len = report.len.max(index as u8 + 1);
         }
     }
     report
--- a/node/src/backend/local_failure.rs
+++ b/node/src/backend/local_failure.rs
@@ -1,4 +1,4 @@
-//! Connections that could not be begun for reasons of this machine: they say nothing of the backend.
+//! Failures to open a connection that are caused by this machine and say nothing about the backend.
 
 use crate::logging::LimitedLog;
 use crate::reasons::CountsByName;
@@ -6,15 +6,15 @@
 use std::io;
 use std::time::Duration;
 
-/// Such a failure is waited out for so long in all, in pauses from the first to the longest.
-pub const MAX_WAIT: Duration = Duration::from_millis(400);
-/// See `MAX_WAIT`.
-pub const FIRST_PAUSE: Duration = Duration::from_millis(5);
-/// See `MAX_WAIT`.
-pub const LONGEST_PAUSE: Duration = Duration::from_millis(40);
+/// How long opening a connection is retried after local failures.
+pub const MAX_RETRY_TIME: Duration = Duration::from_millis(400);
+/// The pause before the first retry; it doubles with each retry, up to [`MAX_RETRY_PAUSE`].
+pub const FIRST_RETRY_PAUSE: Duration = Duration::from_millis(5);
+/// The longest pause between two retries.
+pub const MAX_RETRY_PAUSE: Duration = Duration::from_millis(40);
 
-/// The errors that `socket` and `connect` give before anything has left this machine, with their names.
-const LOCAL: [(i32, &str); 8] = [
+/// The errors with which `socket` and `connect` fail before anything has left this machine, and their names.
+const LOCAL_ERRORS: [(i32, &str); 8] = [
     (libc::EMFILE, "EMFILE"),
     (libc::ENFILE, "ENFILE"),
     (libc::ENOBUFS, "ENOBUFS"),
@@ -25,13 +25,13 @@
     (libc::EINTR, "EINTR"),
 ];
 
-/// The name of an error that is this machine's own; `None` for one that the other side, or the way there, gave.
+/// Returns the name of an error that is caused by this machine; `None` for one caused by the peer or the network.
 pub fn local_error(e: &io::Error) -> Option<&'static str> {
     let code = e.raw_os_error()?;
-    LOCAL.iter().find(|(local, _)| *local == code).map(|(_, name)| *name)
+    LOCAL_ERRORS.iter().find(|(local_code, _)| *local_code == code).map(|(_, name)| *name)
 }
 
-/// Counts such failures by error.
+/// Counts and logs local failures by error.
 #[derive(Default)]
 pub struct LocalFailures {
     counts: CountsByName,
@@ -39,13 +39,13 @@
 }
 
 impl LocalFailures {
-    /// Takes in one.
-    pub fn note(&self, name: &'static str) {
+    /// Counts and logs one failure. `name` is a name returned by [`local_error`].
+    pub fn record(&self, name: &'static str) {
         self.counts.count(name);
-        self.log.line(&format!("no connection to a backend could be begun: {name}"));
+        self.log.line(&format!("connection to a backend failed with a local error: {name}"));
     }
 
-    /// All counts by the error's name.
+    /// Returns the counts by error name.
     pub fn report(&self) -> Map<String, Value> {
         self.counts.report()
     }
--- a/node/src/backend/message.rs
+++ b/node/src/backend/message.rs
@@ -1,4 +1,4 @@
-//! Requests on their way to a backend.
+//! Requests as they are forwarded to backends.
 
 use crate::body::budget::Reservation;
 use crate::body::upload::{RequestBody, Upload, UploadSource};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Fields that concern one connection only and go no further.
+/// Hop-by-hop header fields, which are not forwarded.
 const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "expect",
@@ -24,7 +24,7 @@
     "upgrade",
 ];
 
-/// Takes out of a message what concerns its own connection alone, and its framing.
+/// Removes the hop-by-hop header fields, those named in `connection`, and `content-length`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named = headers.get(CONNECTION).and_then(|v| v.to_str().ok()).map(str::to_owned);
     for name in named.iter().flat_map(|v| v.split(',')) {
@@ -34,57 +34,69 @@
     headers.remove(CONTENT_LENGTH);
 }
 
-/// What is passed on of a client's request.
+/// The parts of a client's request that are forwarded to a backend.
 pub struct Message {
+    /// The request method.
     pub method: Method,
+    /// The request target.
     pub target: hyper::Uri,
+    /// The header fields without the hop-by-hop ones.
     pub headers: HeaderMap,
+    /// The request body.
     pub body: Payload,
-    /// How long its client waits, counted from its last byte.
+    /// How long the client waits for a response, counted from the last byte of its request.
     pub client_wait: Duration,
-    /// The connection that it came on.
+    /// The client's connection.
     pub client: Rc<Meter>,
 }
 
-/// A client's body.
+/// The body of a client's request.
 pub enum Payload {
-    /// Held whole, with its part of what bodies may hold.
-    Whole { body: Bytes, _reservation: Reservation },
-    /// Still on its way; it can be sent once.
+    /// Buffered whole, so that it can be sent again.
+    Whole {
+        /// The bytes of the body.
+        body: Bytes,
+        /// The memory reserved for them.
+        _reservation: Reservation,
+    },
+    /// Streamed while it is being received; it can be sent only once.
     Streamed(Rc<UploadSource>),
 }
 
 impl Payload {
-    /// The source, where the body is passed on as it comes.
-    pub(super) fn upload(&self) -> Option<Rc<UploadSource>> {
+    /// Returns the source of a streamed body.
+    pub(super) fn upload_source(&self) -> Option<Rc<UploadSource>> {
         match self {
             Payload::Whole { .. } => None,
             Payload::Streamed(source) => Some(source.clone()),
         }
     }
 
-    /// Bytes that it takes on the wire; `None` until that is known.
-    pub(super) fn framed(&self) -> Option<u64> {
+    /// Returns the number of bytes that the body takes on the wire, including chunk framing; `None` until it is
+    /// known.
+    pub(super) fn framed_length(&self) -> Option<u64> {
         match self {
             Payload::Whole { body, .. } => Some(body.len() as u64),
-            Payload::Streamed(source) => source.framed(),
+            Payload::Streamed(source) => source.framed_length(),
         }
     }
 }
 
 impl Message {
-    /// Whether it can't be sent from its beginning any more.
+    /// Returns whether the body can no longer be sent from its beginning.
     pub fn body_consumed(&self) -> bool {
-        matches!(&self.body, Payload::Streamed(source) if source.begun())
+        matches!(&self.body, Payload::Streamed(source) if source.started())
     }
 
-    /// The time that a backend is told of what is left. That of a body that is still coming does not run yet.
-    pub(super) fn time_to_tell(&self, left: Duration) -> Duration {
+    /// Returns the time that a backend is told it has, given the time left. It is at most `client_wait`: while the
+    /// body is still being received, the client's wait has not begun.
+    pub(super) fn advertised_time(&self, left: Duration) -> Duration {
         left.min(self.client_wait)
     }
 
-    /// The request for an attempt that is told to have so much time.
-    pub(super) fn request(&self, told: Duration) -> Request<RequestBody> {
+    /// Builds the request of an attempt, with `advertised_time` in its `x-time-left-ms` field, rounded up to a
+    /// millisecond.
+    pub(super) fn request(&self, advertised_time: Duration) -> Request<RequestBody> {
         let (body, length) = match &self.body {
             Payload::Whole { body, .. } => (Either::Left(Full::new(body.clone())), Some(body.len() as u64)),
             Payload::Streamed(source) => (Either::Right(Upload::new(source.clone())), source.length),
@@ -94,8 +106,8 @@
         *request.uri_mut() = self.target.clone();
         let headers = request.headers_mut();
         headers.clone_from(&self.headers);
-        let told_ms = told.as_micros().div_ceil(1000) as u64;
-        headers.insert("x-time-left-ms", told_ms.into());
+        let advertised_ms = advertised_time.as_micros().div_ceil(1000) as u64;
+        headers.insert("x-time-left-ms", advertised_ms.into());
         match length {
             Some(length) if self.method == Method::POST => {
                 drop(headers.insert(CONTENT_LENGTH, length.into()))
--- a/node/src/backend/pool.rs
+++ b/node/src/backend/pool.rs
@@ -1,6 +1,6 @@
-//! Connections to the backends: kept for reuse, bounded in number.
+//! The pool of connections to backends: idle ones are kept for reuse, and the total is bounded.
 
-use super::local_failure::{local_error, LocalFailures, FIRST_PAUSE, LONGEST_PAUSE, MAX_WAIT};
+use super::local_failure::{local_error, LocalFailures, FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE, MAX_RETRY_TIME};
 use crate::body::budget::Budget;
 use crate::config::Setup;
 use crate::guard::Guard;
@@ -13,31 +13,34 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Idle connections that break at their next request are kept for a shorter time from then on, down to
-/// this; it grows back by this factor a second. Danger: backends, or what stands before them, were seen to let
-/// go after a tenth of a second; a break after less idleness than this has another reason.
-const LEAST_IDLE: Duration = Duration::from_millis(20);
-const REGAIN: f64 = 1.1;
+/// The shortest idle timeout. When an idle connection fails at its next request, the idle timeout is shortened, down
+/// to this: some backends, or proxies in front of them, close idle connections after 100 ms. A failure after a
+/// shorter idle time has another cause.
+const MIN_IDLE_TIMEOUT: Duration = Duration::from_millis(20);
+/// The factor by which a shortened idle timeout grows back with each [`Pool::sweep`], once a second.
+const IDLE_TIMEOUT_GROWTH: f64 = 1.1;
 
-struct Peer {
+struct BackendEntry {
     address: SocketAddr,
-    /// In service: neither draining nor gone.
-    ready: bool,
-    /// Changes with all that makes connections from before useless.
-    era: u64,
+    /// Neither draining nor gone.
+    in_service: bool,
+    /// Changes whenever the connections opened before must not be used any more.
+    generation: u64,
+    /// Idle connections and when each became idle, the longest idle first.
     idle: Vec<(Connection, Instant)>,
 }
 
-/// A connection, counted for as long as it lives.
+/// A connection to a backend, counted against the pool's bound until it is dropped.
 pub struct Connection {
     pub(super) link: Link,
-    /// Where it leads.
+    /// The backend's address.
     pub(super) address: SocketAddr,
-    /// Its backend's when it was begun.
-    pub(super) era: u64,
+    /// The backend's generation when the connection was opened.
+    pub(super) generation: u64,
     _permit: Permit,
 }
 
+/// One unit of the pool's connection bound; holds the count of open connections and decrements it on drop.
 struct Permit(Rc<Cell<usize>>);
 
 impl Drop for Permit {
@@ -46,189 +49,205 @@
     }
 }
 
-/// Connections to all backends.
+/// The connections to all backends.
 pub struct Pool {
-    peers: RefCell<HashMap<BackendId, Peer>>,
-    /// The last era of any backend.
-    last_era: Cell<u64>,
+    backends: RefCell<HashMap<BackendId, BackendEntry>>,
+    /// The generation assigned last, over all backends.
+    last_generation: Cell<u64>,
+    /// The number of open connections, idle or in use.
     open: Rc<Cell<usize>>,
-    most: Cell<usize>,
-    /// The longest that a connection may stand idle, as told, and as far as it has proved to hold.
-    retire: Duration,
-    pub(super) holds: Cell<Duration>,
-    connect: Duration,
+    max_connections: Cell<usize>,
+    /// The configured idle timeout, the upper limit of `idle_timeout`.
+    max_idle_time: Duration,
+    /// How long connections are currently kept idle; shortened when an idle connection turns out to be closed.
+    pub(super) idle_timeout: Cell<Duration>,
+    connect_timeout: Duration,
     pub(super) load_fields: Vec<LoadField>,
-    /// The most units that a request counts for.
-    pub(super) units_top: f64,
-    /// What answers may hold while they are read.
-    pub(super) bodies: Budget,
-    /// Out by hand, listed or not.
-    barred: RefCell<HashSet<BackendId>>,
-    /// Attempts written whole.
+    /// The most units that a request can cost.
+    pub(super) max_units: f64,
+    /// The memory for buffering responses.
+    pub(super) body_budget: Budget,
+    /// Backends disabled by an operator, whether they are listed or not.
+    disabled: RefCell<HashSet<BackendId>>,
+    /// The number of attempts whose last byte has been written.
     pub attempts_written: Rc<Cell<u64>>,
-    /// Looks at each attempt before it is written.
+    /// Checks each attempt before it is sent.
     pub guard: Rc<Guard>,
-    /// Connections that could not be begun here.
+    /// Counts connections that failed for reasons of this machine.
     pub local_failures: LocalFailures,
 }
 
 impl Pool {
-    /// A pool with no connections, bounded as for a process that serves alone.
+    /// Creates an empty pool with the connection bound of a process that serves alone.
     pub fn new(setup: &Setup) -> Rc<Self> {
         Rc::new(Pool {
-            peers: RefCell::default(),
-            last_era: Cell::new(0),
+            backends: RefCell::default(),
+            last_generation: Cell::new(0),
             open: Rc::default(),
-            most: Cell::new(setup.alone.backends),
-            retire: setup.idle_retire,
-            holds: Cell::new(setup.idle_retire),
-            connect: Duration::from_micros(setup.module.connect_timeout),
+            max_connections: Cell::new(setup.alone.backends),
+            max_idle_time: setup.idle_retire,
+            idle_timeout: Cell::new(setup.idle_retire),
+            connect_timeout: Duration::from_micros(setup.module.connect_timeout),
             load_fields: setup.module.load_fields.clone(),
-            units_top: setup.module.max_units.max(1.0),
-            bodies: Budget::new(setup.body_bytes),
-            barred: RefCell::default(),
+            max_units: setup.module.max_units.max(1.0),
+            body_budget: Budget::new(setup.body_bytes),
+            disabled: RefCell::default(),
             attempts_written: Rc::default(),
             guard: Rc::default(),
             local_failures: LocalFailures::default(),
         })
     }
 
-    /// Takes in a listed backend; connections to a process that is no more in service are dropped.
-    pub fn update_backend(&self, id: BackendId, address: SocketAddr, ready: bool, same_process: bool) {
-        let mut peers = self.peers.borrow_mut();
-        let new = || Peer { address, ready, era: self.next_era(), idle: Vec::new() };
-        let peer = peers.entry(id).or_insert_with(new);
-        if !ready || !same_process || peer.address != address {
-            self.renew(peer);
+    /// Adds or updates a listed backend. Idle connections are closed, and those in use are not reused, if the backend
+    /// is not in service, has moved to another address, or is not the same process as before.
+    pub fn update_backend(&self, id: BackendId, address: SocketAddr, in_service: bool, same_process: bool) {
+        let mut backends = self.backends.borrow_mut();
+        let new =
+            || BackendEntry { address, in_service, generation: self.next_generation(), idle: Vec::new() };
+        let backend = backends.entry(id).or_insert_with(new);
+        if !in_service || !same_process || backend.address != address {
+            self.invalidate_connections(backend);
         }
-        (peer.address, peer.ready) = (address, ready);
+        (backend.address, backend.in_service) = (address, in_service);
     }
 
-    fn next_era(&self) -> u64 {
-        self.last_era.set(self.last_era.get() + 1);
-        self.last_era.get()
+    fn next_generation(&self) -> u64 {
+        self.last_generation.set(self.last_generation.get() + 1);
+        self.last_generation.get()
     }
 
-    /// Lets go of all connections to a backend. Danger: attempts that are out hold some, too; these lead to the
-    /// process or the machine of before, and must not come back for the new one.
-    fn renew(&self, peer: &mut Peer) {
-        peer.idle.clear();
-        peer.era = self.next_era();
+    /// Closes the idle connections to a backend and begins a new generation. The attempts in flight hold connections
+    /// to the previous process or machine, which must not return to the pool and be used for the new one.
+    fn invalidate_connections(&self, backend: &mut BackendEntry) {
+        backend.idle.clear();
+        backend.generation = self.next_generation();
     }
 
-    /// A backend that is no longer listed. Attempts that are out there hold their own connections.
+    /// Removes a backend that is no longer listed. Its attempts in flight keep their connections.
     pub fn remove_backend(&self, id: BackendId) {
-        self.peers.borrow_mut().remove(&id);
+        self.backends.borrow_mut().remove(&id);
     }
 
-    /// Lets go of all connections to a backend.
+    /// Closes the idle connections to a backend; those in use are not reused.
     pub fn close_idle(&self, id: BackendId) {
-        if let Some(peer) = self.peers.borrow_mut().get_mut(&id) {
-            self.renew(peer);
+        if let Some(backend) = self.backends.borrow_mut().get_mut(&id) {
+            self.invalidate_connections(backend);
         }
     }
 
-    /// Lets go of what has stood idle long enough or was closed by the other side.
+    /// Closes connections that have been idle for too long or were closed by the peer. To be called once a second.
     pub fn sweep(&self) {
-        self.holds.set(self.holds.get().mul_f64(REGAIN).min(self.retire));
-        let keep = |c: &(Connection, Instant)| c.0.link.usable() && c.1.elapsed() < self.holds.get();
-        self.peers.borrow_mut().values_mut().for_each(|p| p.idle.retain(keep));
-    }
-
-    /// Takes a backend out by hand, or back in; connections are kept to none that is out.
-    pub fn set_disabled(&self, id: BackendId, out: bool) {
-        let mut barred = self.barred.borrow_mut();
-        if out {
-            barred.insert(id);
+        self.idle_timeout.set(self.idle_timeout.get().mul_f64(IDLE_TIMEOUT_GROWTH).min(self.max_idle_time));
+        let keep = |entry: &(Connection, Instant)| {
+            entry.0.link.usable() && entry.1.elapsed() < self.idle_timeout.get()
+        };
+        self.backends.borrow_mut().values_mut().for_each(|p| p.idle.retain(keep));
+    }
+
+    /// Disables a backend for an operator, closing its idle connections, or enables it again.
+    pub fn set_disabled(&self, id: BackendId, disabled: bool) {
+        let mut disabled_backends = self.disabled.borrow_mut();
+        if disabled {
+            disabled_backends.insert(id);
             self.close_idle(id);
         } else {
-            barred.remove(&id);
+            disabled_backends.remove(&id);
         }
     }
 
-    /// The era of a backend in service; `None` for one that is not.
-    pub(super) fn era(&self, id: BackendId) -> Option<u64> {
-        let era = self.peers.borrow().get(&id).filter(|p| p.ready).map(|p| p.era);
-        era.filter(|_| !self.barred.borrow().contains(&id))
+    /// Returns the generation of a backend; `None` if it is disabled or not in service.
+    pub(super) fn generation(&self, id: BackendId) -> Option<u64> {
+        let generation = self.backends.borrow().get(&id).filter(|p| p.in_service).map(|p| p.generation);
+        generation.filter(|_| !self.disabled.borrow().contains(&id))
     }
 
-    /// The most recently used idle connection that has settled: the others are left to retire.
-    pub(super) fn reuse(&self, id: BackendId) -> Option<(Connection, Duration)> {
-        let mut peers = self.peers.borrow_mut();
-        let idle = &mut peers.get_mut(&id)?.idle;
-        while let Some(at) = idle.iter().rposition(|(_, since)| since.elapsed() >= REUSE_DELAY) {
-            let (conn, since) = idle.remove(at);
-            let idle = since.elapsed();
-            if conn.link.usable() && idle < self.holds.get() {
-                return Some((conn, idle));
+    /// Takes the most recently used idle connection that has been idle for at least [`REUSE_DELAY`], and returns it
+    /// with its idle time. Preferring the most recently used one lets the others reach the idle timeout.
+    pub(super) fn take_idle(&self, id: BackendId) -> Option<(Connection, Duration)> {
+        let mut backends = self.backends.borrow_mut();
+        let idle = &mut backends.get_mut(&id)?.idle;
+        while let Some(index) = idle.iter().rposition(|(_, since)| since.elapsed() >= REUSE_DELAY) {
+            let (connection, since) = idle.remove(index);
+            let idle_time = since.elapsed();
+            if connection.link.usable() && idle_time < self.idle_timeout.get() {
+                return Some((connection, idle_time));
             }
         }
         None
     }
 
-    /// Drops the longest idle connection; `None` where none is idle.
-    fn drop_oldest(&self) -> Option<()> {
-        let mut peers = self.peers.borrow_mut();
-        let oldest = peers.values_mut().filter(|p| !p.idle.is_empty()).min_by_key(|p| p.idle[0].1)?;
+    /// Closes the connection that has been idle for the longest time; returns `None` if no connection is idle.
+    fn close_oldest_idle(&self) -> Option<()> {
+        let mut backends = self.backends.borrow_mut();
+        let oldest = backends.values_mut().filter(|p| !p.idle.is_empty()).min_by_key(|p| p.idle[0].1)?;
         oldest.idle.remove(0);
         Some(())
     }
 
-    /// Connections held.
+    /// Returns the number of open connections, idle or in use.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// From now on holds so many connections at most, as far as idle ones can make way.
-    pub fn set_max_connections(&self, most: usize) {
-        self.most.set(most);
-        while self.open.get() > most && self.drop_oldest().is_some() {}
+    /// Sets the bound of open connections, closing idle ones to get below it. Connections in use stay open.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
+        while self.open.get() > max_connections && self.close_oldest_idle().is_some() {}
     }
 
-    /// Room for one more connection; at the bound, the longest idle one makes way.
-    fn permit(&self) -> Option<Permit> {
-        while self.open.get() >= self.most.get() {
-            self.drop_oldest()?;
+    /// Returns a permit for one more connection. At the bound, the longest idle connections are closed to make room;
+    /// returns `None` if none is idle.
+    fn acquire_permit(&self) -> Option<Permit> {
+        while self.open.get() >= self.max_connections.get() {
+            self.close_oldest_idle()?;
         }
         self.open.set(self.open.get() + 1);
         Some(Permit(self.open.clone()))
     }
 
-    pub(super) async fn open(&self, id: BackendId) -> Result<Connection, Outcome> {
-        let (began, mut pause) = (Instant::now(), FIRST_PAUSE);
+    /// Opens a connection to a backend, retrying for up to [`MAX_RETRY_TIME`] while it fails for reasons of this
+    /// machine.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`Outcome::ConnectFailed`] if the backend can't be reached, [`Outcome::NotSent`] if the backend is
+    /// unknown or the failure is local.
+    pub(super) async fn open_connection(&self, id: BackendId) -> Result<Connection, Outcome> {
+        let (started, mut pause) = (Instant::now(), FIRST_RETRY_PAUSE);
         loop {
-            let peer = self.peers.borrow().get(&id).map(|p| (p.address, p.era));
-            let (address, era) = peer.ok_or(Outcome::NotSent)?;
-            // Danger: want of a descriptor here is no news of the backend, which would be ejected for it.
-            let permit = self.permit().ok_or(Outcome::NotSent)?;
-            let failed = match timeout(self.connect, Link::connect(address)).await {
-                Ok(Ok(link)) => return Ok(Connection { link, address, era, _permit: permit }),
+            let backend = self.backends.borrow().get(&id).map(|p| (p.address, p.generation));
+            let (address, generation) = backend.ok_or(Outcome::NotSent)?;
+            // Reaching the connection bound here says nothing about the backend; as `ConnectFailed` it would get the
+            // backend ejected.
+            let permit = self.acquire_permit().ok_or(Outcome::NotSent)?;
+            let local_failure = match timeout(self.connect_timeout, Link::connect(address)).await {
+                Ok(Ok(link)) => return Ok(Connection { link, address, generation, _permit: permit }),
                 Ok(Err(e)) => local_error(&e),
                 Err(_) => None,
             };
-            self.local_failures.note(failed.ok_or(Outcome::ConnectFailed)?);
-            if began.elapsed() >= MAX_WAIT {
+            self.local_failures.record(local_failure.ok_or(Outcome::ConnectFailed)?);
+            if started.elapsed() >= MAX_RETRY_TIME {
                 return Err(Outcome::NotSent);
             }
             sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
 
-    /// Keeps a connection for the next request, if it can be used again.
-    pub fn put_back(&self, id: BackendId, conn: Connection) {
-        let keep = self.era(id) == Some(conn.era) && conn.link.usable();
-        if let Some(peer) = self.peers.borrow_mut().get_mut(&id).filter(|_| keep) {
-            peer.idle.push((conn, Instant::now()));
+    /// Returns a connection to the pool for the next request, or closes it if it can't be reused.
+    pub fn put_back(&self, id: BackendId, connection: Connection) {
+        let keep = self.generation(id) == Some(connection.generation) && connection.link.usable();
+        if let Some(backend) = self.backends.borrow_mut().get_mut(&id).filter(|_| keep) {
+            backend.idle.push((connection, Instant::now()));
         }
     }
 }
 
-/// How long idle connections are kept once one has broken at its next request after standing idle so long.
-pub fn shortened_idle_timeout(holds: Duration, idle: Duration) -> Duration {
-    if idle < LEAST_IDLE {
-        holds
+/// Returns the idle timeout to use after a connection that had been idle for `idle_time` failed at its next request.
+pub fn shortened_idle_timeout(idle_timeout: Duration, idle_time: Duration) -> Duration {
+    if idle_time < MIN_IDLE_TIMEOUT {
+        idle_timeout
     } else {
-        holds.min(LEAST_IDLE.max(idle / 2))
+        idle_timeout.min(MIN_IDLE_TIMEOUT.max(idle_time / 2))
     }
 }
--- a/node/src/body.rs
+++ b/node/src/body.rs
@@ -1,5 +1,5 @@
-//! Request and answer bodies. A small one is held whole, so that it can be sent again; a longer one is passed on frame
-//! by frame, and nothing is kept of it: each side is read only as fast as the other side takes it.
+//! Request and response bodies. A small body is buffered whole, so that its request can be sent again. A longer one
+//! is streamed frame by frame without being kept: each side is read only as fast as the other side accepts the data.
 
 pub mod answer_limit;
 pub mod budget;
@@ -8,7 +8,7 @@
 pub mod interruption;
 pub mod upload;
 
-/// A body up to this long is held whole.
+/// The largest body that is buffered whole, in bytes.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// No body may be longer than this.
+/// The largest body that is accepted at all, in bytes.
 pub const MAX_BODY_BYTES: u64 = 40 << 20;
--- a/node/src/body/answer_limit.rs
+++ b/node/src/body/answer_limit.rs
@@ -1,59 +1,64 @@
-//! How long the next bytes of an answer are waited for.
+//! Time limits for receiving a response from a backend.
 //!
-//! A short answer has to be whole in its request's time, a long one may take longer for as long as its backend goes on
-//! sending. Where the backend tells no length, an answer may prove to be either: it is taken for a short one that never
-//! ends once nothing has come of it since its request's time, and is waited for like a long one as long as more comes.
-//! Only the time in which this side asks for more counts, not that in which the client does not read.
+//! A short response has to be complete by its request's deadline. A long one may take longer, as long as its backend
+//! keeps sending. A response of unknown length may turn out to be either: if no bytes arrive after the deadline, it
+//! is treated as a short response that never ends; while bytes keep arriving, it is treated like a long one. Only the
+//! time in which the gateway is ready to read counts, not the time in which the client does not accept data.
 
 use super::interruption::AnswerInterruption;
 use super::{MAX_BODY_BYTES, MAX_BUFFERED_BYTES};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After its request's time, an answer that is not known to be long has so much longer to go on: its client has to be
-/// told within half a second that no more comes.
+/// How long after the deadline a response that is not known to be long may go on. The client has to be told within
+/// half a second of the deadline that the response is interrupted.
 pub const LATE_GRACE: Duration = Duration::from_millis(400);
-/// A long answer of which nothing has come for so long comes no more. Four lost segments in a row, which TCP sends
-/// again after 0.2 s, 0.4 s, 0.8 s and 1.6 s, do not interrupt it.
+/// A long response from which no bytes arrive for this time has stalled. Four consecutive losses of a segment, which
+/// TCP retransmits after 0.2 s, 0.4 s, 0.8 s and 1.6 s, stay below it.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Waiting in all, after its request's time, for an answer that has still not proved to be long.
+/// The maximum total wait after the deadline for a response that is still not known to be long.
 pub const MAX_UNKNOWN_LENGTH_WAIT: Duration = Duration::from_secs(10);
-/// Waiting in all, after its request's time, for a long answer.
+/// The maximum total wait after the deadline for a long response.
 pub const MAX_LONG_WAIT: Duration = Duration::from_secs(900);
 
-/// What is known of an answer's length.
+/// What is known so far of a response's length.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LengthClass {
-    /// The backend told a length that is held whole elsewhere.
+    /// The backend declared a length of at most [`MAX_BUFFERED_BYTES`].
     Short,
-    /// No length was told, and not enough has come to know.
+    /// The backend declared no length, and at most [`MAX_BUFFERED_BYTES`] have been received.
     Unknown,
-    /// A longer length was told, or has come.
+    /// More than [`MAX_BUFFERED_BYTES`] have been declared or received.
     Long,
 }
 
-/// The time that an answer has.
+/// Tracks how long one response may still be waited for.
 pub struct AnswerLimit {
     length: Option<u64>,
     received: u64,
-    /// Since when its next bytes are waited for; `None` while nobody asks for them.
+    /// When the current wait for more bytes began; `None` while nobody is waiting.
     waiting_since: Option<Instant>,
-    /// Waiting after its request's time that has ended with bytes.
+    /// The total of the waits after the deadline that ended with bytes received.
     waited_late: Duration,
 }
 
 impl AnswerLimit {
-    /// The limit for an answer of which so much has come; its length is `None` where the backend tells none.
+    /// Creates the limit for a response of which `received` bytes have arrived. `length` is its length in bytes,
+    /// `None` if the backend declares none.
     pub fn new(length: Option<u64>, received: u64) -> Self {
         AnswerLimit { length, received, waiting_since: None, waited_late: Duration::ZERO }
     }
 
-    /// Bytes that have come.
+    /// Returns the number of bytes received so far.
     pub fn received(&self) -> u64 {
         self.received
     }
 
-    /// Counts bytes that have come; an error where no body may be that long.
+    /// Records that `bytes` were received at `now`.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`AnswerInterruption::TooLong`] if the body exceeds [`MAX_BODY_BYTES`].
     pub fn receive(
         &mut self,
         now: Instant,
@@ -70,18 +75,19 @@
         Ok(())
     }
 
-    /// What is known of its length by now.
+    /// Returns what is known of the length so far.
     pub fn length_class(&self) -> LengthClass {
-        let long = |bytes: u64| bytes > MAX_BUFFERED_BYTES as u64;
+        let is_long = |bytes: u64| bytes > MAX_BUFFERED_BYTES as u64;
         match self.length {
-            Some(length) if long(length) => LengthClass::Long,
+            Some(length) if is_long(length) => LengthClass::Long,
             Some(_) => LengthClass::Short,
-            None if long(self.received) => LengthClass::Long,
+            None if is_long(self.received) => LengthClass::Long,
             None => LengthClass::Unknown,
         }
     }
 
-    /// Waits for its next bytes, from `now` on if it did not wait before; tells when they are given up, and why.
+    /// Begins to wait for more bytes at `now`, unless a wait is already in progress. Returns when the wait is to be
+    /// given up, and the reason for the interruption in that case.
     pub fn wait(&mut self, now: Instant, deadline: Instant) -> (Instant, AnswerInterruption) {
         let since = *self.waiting_since.get_or_insert(now);
         let late = (deadline + LATE_GRACE, AnswerInterruption::Late);
@@ -89,13 +95,13 @@
         match self.length_class() {
             LengthClass::Short => late,
             LengthClass::Unknown if since <= deadline => late,
-            LengthClass::Unknown => self.sooner(stalled, since, deadline, MAX_UNKNOWN_LENGTH_WAIT),
-            LengthClass::Long => self.sooner(stalled, since, deadline, MAX_LONG_WAIT),
+            LengthClass::Unknown => self.cap_total_wait(stalled, since, deadline, MAX_UNKNOWN_LENGTH_WAIT),
+            LengthClass::Long => self.cap_total_wait(stalled, since, deadline, MAX_LONG_WAIT),
         }
     }
 
-    /// The sooner of a limit and the end of all waiting.
-    fn sooner(
+    /// Returns the earlier of `limit` and the time at which the total wait after the deadline reaches `max_wait`.
+    fn cap_total_wait(
         &self,
         limit: (Instant, AnswerInterruption),
         since: Instant,
--- a/node/src/body/budget.rs
+++ b/node/src/body/budget.rs
@@ -1,34 +1,35 @@
-//! The memory that bodies may hold together.
+//! The memory budget that all buffered bodies share.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Bytes that bodies may hold together.
+/// A budget of bytes; clones share it.
 #[derive(Clone)]
 pub struct Budget {
     available: Rc<Cell<usize>>,
     total: usize,
 }
 
-/// A part of the budget, returned when it is dropped.
+/// Bytes reserved from a [`Budget`], returned to it on drop.
 pub struct Reservation {
     budget: Budget,
     bytes: usize,
 }
 
 impl Budget {
-    /// A budget of so many bytes, all of them available.
+    /// Creates a budget of `bytes`, all of them available.
     pub fn new(bytes: usize) -> Self {
         Budget { available: Rc::new(Cell::new(bytes)), total: bytes }
     }
 
-    /// Reserves so many bytes; `None` where fewer are available.
+    /// Reserves `bytes`; returns `None` if fewer are available.
     pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
         self.available.set(self.available.get().checked_sub(bytes)?);
         Some(Reservation { budget: self.clone(), bytes })
     }
 
-    /// The same for what is less urgent than bodies: half of the budget is left to these.
+    /// Reserves `bytes` for a use less urgent than bodies; returns `None` if less than half of the budget would stay
+    /// available to bodies.
     pub fn reserve_spare(&self, bytes: usize) -> Option<Reservation> {
         self.reserve(bytes).filter(|_| self.available.get() >= self.total / 2)
     }
--- a/node/src/body/download.rs
+++ b/node/src/body/download.rs
@@ -1,4 +1,4 @@
-//! An answer that is passed on as it comes.
+//! Streaming a backend's response to the client.
 
 use super::answer_limit::{AnswerLimit, LengthClass};
 use super::interruption::AnswerInterruption;
@@ -14,31 +14,32 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// Bytes that have come, but not to here yet, are waited for this long at a time.
-const UNREAD_WAIT: Duration = Duration::from_millis(10);
+/// How long to wait at a time for bytes that have arrived in the socket but have not been read yet.
+const UNREAD_RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The end of a request's time. It moves where the time begins to count later.
+/// A request's deadline, shared by its clones. It can be moved when the request's time starts to count later than
+/// first assumed.
 #[derive(Clone)]
 pub struct Deadline(Rc<DeadlineState>);
 
 struct DeadlineState {
     at: Cell<Instant>,
-    /// Who waits for an answer until then.
+    /// Wakes the task that waits for a response until the deadline.
     waiter: Cell<Option<Waker>>,
 }
 
 impl Deadline {
-    /// A deadline at this moment.
+    /// Creates a deadline at `at`.
     pub fn new(at: Instant) -> Self {
         Deadline(Rc::new(DeadlineState { at: Cell::new(at), waiter: Cell::new(None) }))
     }
 
-    /// When it is.
+    /// Returns the current deadline.
     pub fn get(&self) -> Instant {
         self.0.at.get()
     }
 
-    /// Moves it; who waits is told.
+    /// Moves the deadline and wakes the task that waits for it.
     pub fn set(&self, at: Instant) {
         self.0.at.set(at);
         if let Some(waiter) = self.0.waiter.take() {
@@ -46,40 +47,40 @@
         }
     }
 
-    /// When it is; the task is woken where it moves.
+    /// Returns the current deadline and registers the task to be woken when it moves.
     fn poll_get(&self, cx: &Context<'_>) -> Instant {
         self.0.waiter.set(Some(cx.waker().clone()));
         self.get()
     }
 }
 
-/// The connection that an answer comes on. Dropping it closes it.
+/// The connection on which a response is received. Dropping it closes the connection.
 pub trait AnswerConnection {
-    /// The backend's address.
+    /// Returns the backend's address.
     fn backend(&self) -> SocketAddr;
-    /// Whether something of the answer, or its end, has come that nobody has read yet.
+    /// Returns whether bytes of the response, or its end, have arrived but have not been read yet.
     fn has_unread(&self) -> bool;
-    /// Gives the connection back for further use: the answer has been read to its end.
+    /// Returns the connection to its pool for reuse. Called when the response has been read to its end.
     fn release(self: Box<Self>);
 }
 
-/// The body of an answer to a client: held whole, or passed on as it comes.
+/// The body of a response to a client: buffered whole, or streamed from a backend.
 pub type AnswerBody = Either<Full<Bytes>, Download>;
 
-/// What has come of an answer.
+/// How much of a streamed response has been received.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// The backend that it comes from.
+    /// The address of the backend that sends the response.
     pub backend: SocketAddr,
-    /// What is known of its length.
+    /// What is known so far of the response's length.
     pub length_class: LengthClass,
-    /// Bytes that have come from it.
+    /// The number of body bytes received so far.
     pub received: u64,
-    /// When the last of them came.
+    /// When the last of these bytes were received.
     pub last_received: Instant,
 }
 
-/// An answer that is passed on as it comes. Dropped before its end, it closes the backend's connection.
+/// A response body that is streamed to the client. Dropping it before its end closes the backend's connection.
 pub struct Download {
     first: Option<Bytes>,
     rest: Incoming,
@@ -92,7 +93,8 @@
 }
 
 impl Download {
-    /// An answer of which `first` has come. `deadline` is the end of its request's time.
+    /// Creates a streamed body from the bytes received already (`first`) and the unread `rest`. `deadline` is the
+    /// request's deadline.
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -113,7 +115,7 @@
         }
     }
 
-    /// What has come of it so far.
+    /// Returns how much has been received so far.
     pub fn progress(&self) -> Progress {
         let (backend, last_received) = (self.backend, self.last_received);
         let (extent, received) = (self.limit.length_class(), self.limit.received());
@@ -126,28 +128,28 @@
         }
     }
 
-    /// Closes the backend's connection.
+    /// Closes the backend's connection and ends the body with an error.
     fn interrupt(
         &mut self,
-        why: AnswerInterruption,
+        reason: AnswerInterruption,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerInterruption>>> {
         self.connection = None;
-        Poll::Ready(Some(Err(why)))
+        Poll::Ready(Some(Err(reason)))
     }
 
-    /// Ready with the reason where the next bytes are waited for no longer. Danger: the timer may fire before the
-    /// task that reads the connection has come to run: what stands in the socket has come in time.
+    /// Ready with the reason once the wait for more bytes has timed out. The timer may fire before the task that
+    /// reads the connection has run, so bytes that are still unread in the socket count as received in time.
     fn poll_give_up(&mut self, cx: &mut Context<'_>) -> Poll<AnswerInterruption> {
-        let (mut give_up_at, why) = self.limit.wait(Instant::now(), self.deadline.poll_get(cx));
+        let (mut give_up_at, reason) = self.limit.wait(Instant::now(), self.deadline.poll_get(cx));
         loop {
             if self.timer.deadline() != give_up_at {
                 self.timer.as_mut().reset(give_up_at);
             }
             ready!(self.timer.as_mut().poll(cx));
             if !self.connection.as_ref().is_some_and(|connection| connection.has_unread()) {
-                return Poll::Ready(why);
+                return Poll::Ready(reason);
             }
-            give_up_at = Instant::now() + UNREAD_WAIT;
+            give_up_at = Instant::now() + UNREAD_RECHECK_INTERVAL;
         }
     }
 
@@ -172,7 +174,7 @@
             match Pin::new(&mut self.rest).poll_frame(cx) {
                 Poll::Pending => {
                     return match self.poll_give_up(cx) {
-                        Poll::Ready(why) => self.interrupt(why),
+                        Poll::Ready(reason) => self.interrupt(reason),
                         Poll::Pending => Poll::Pending,
                     };
                 }
@@ -182,10 +184,10 @@
                 }
                 Poll::Ready(Some(Err(_))) => return self.interrupt(AnswerInterruption::BackendBroke),
                 Poll::Ready(Some(Ok(frame))) => {
-                    if let Err(why) = self.receive(frame.data_ref().map_or(0, Bytes::len)) {
-                        return self.interrupt(why);
+                    if let Err(reason) = self.receive(frame.data_ref().map_or(0, Bytes::len)) {
+                        return self.interrupt(reason);
                     }
-                    // Trailers concern the connection that they came on, and go no further.
+                    // Trailers apply only to the connection that they arrived on and are not forwarded.
                     if frame.is_trailers() {
                         continue;
                     }
--- a/node/src/body/gather.rs
+++ b/node/src/body/gather.rs
@@ -1,4 +1,4 @@
-//! Reading a body until it is whole or proves to be a long one.
+//! Buffering a body until it is complete or turns out to be a long one.
 
 use super::MAX_BUFFERED_BYTES;
 use bytes::{Bytes, BytesMut};
@@ -6,17 +6,17 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{timeout_at, Instant};
 
-/// What came of gathering a body.
+/// The result of buffering a body.
 pub enum Gathered {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// What has come so far, and the rest.
+    /// The bytes received so far, and the unread rest.
     Partial(Bytes, Incoming),
-    /// It broke off, or it was malformed.
+    /// The body ended prematurely or was malformed.
     Failed,
 }
 
-/// The bytes gathered so far. Most bodies come in one frame, which is kept as it is.
+/// The bytes buffered so far. Most bodies arrive in one frame, which is kept without copying.
 #[derive(Default)]
 struct Buffer {
     first: Bytes,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Reads a body until it is whole, is longer than `MAX_BUFFERED_BYTES`, or the time is up.
+/// Reads a body until it is complete, is longer than [`MAX_BUFFERED_BYTES`], or the time `until` is reached.
 pub async fn gather(mut body: Incoming, until: Option<Instant>) -> Gathered {
     let mut buffer = Buffer::default();
     loop {
@@ -69,7 +69,7 @@
             None => return Gathered::Whole(buffer.into_bytes()),
             Some(Err(_)) => return Gathered::Failed,
             Some(Ok(frame)) => {
-                // Trailers concern the connection that they came on, and go no further.
+                // Trailers apply only to the connection that they arrived on and are not forwarded.
                 if let Ok(data) = frame.into_data() {
                     buffer.push(data);
                 }
--- a/node/src/body/interruption.rs
+++ b/node/src/body/interruption.rs
@@ -1,30 +1,30 @@
-//! Why a body that was being passed on ended before it was whole.
+//! The reasons why streaming a body was interrupted before its end.
 
 use std::fmt;
 
-/// Why an answer ended before its client had all of it.
+/// Why a response ended before its client had received all of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerInterruption {
-    /// The backend ended or reset its connection, or sent what is no proper body.
+    /// The backend closed or reset its connection, or sent a malformed body.
     BackendBroke,
-    /// It is longer than any body may be.
+    /// The body is longer than [`MAX_BODY_BYTES`](super::MAX_BODY_BYTES).
     TooLong,
-    /// It is short, or has not proved to be long, and was not whole in its request's time.
+    /// The response is not known to be long and was not complete by its request's deadline.
     Late,
-    /// It is a long one, and its backend has sent nothing for too long.
+    /// The response goes on after the deadline, but its backend has sent nothing for too long.
     Stalled,
-    /// Its backend goes on sending, but too little for a long answer.
+    /// The backend kept sending, but the total time allowed after the deadline has passed.
     TooSlow,
     /// The client closed its connection.
     ClientClosed,
-    /// The client kept its connection and read nothing for too long.
+    /// The client kept its connection open but read nothing for too long.
     ClientStopped,
-    /// This process ends, and the answer did not come to its end in time.
+    /// This process is shutting down, and the response was not complete in time.
     ProcessEnded,
 }
 
 impl AnswerInterruption {
-    /// All of them, in the order of their discriminants.
+    /// All variants, in the order of their discriminants.
     pub const ALL: [Self; 8] = [
         Self::BackendBroke,
         Self::TooLong,
@@ -36,7 +36,7 @@
         Self::ProcessEnded,
     ];
 
-    /// Its name in the log and in the metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::BackendBroke => "backend_broke",
@@ -59,27 +59,27 @@
 
 impl std::error::Error for AnswerInterruption {}
 
-/// Why a request's body ended, or was no longer wanted, before all of it had come.
+/// Why a request's body ended, or was no longer needed, before all of it was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UploadInterruption {
-    /// The client closed its connection, or sent what is no proper body.
+    /// The client closed its connection or sent a malformed body.
     ClientBroke,
-    /// It is longer than any body may be.
+    /// The body is longer than [`MAX_BODY_BYTES`](super::MAX_BODY_BYTES).
     TooLong,
-    /// It comes too slowly.
+    /// The client sends it too slowly.
     TooSlow,
-    /// Its connection made way for another one.
+    /// Its connection was evicted in favour of another one.
     MadeWay,
-    /// The request had its final answer before its body was whole.
+    /// The request got its final response before its body was complete.
     AnsweredEarly,
 }
 
 impl UploadInterruption {
-    /// All of them, in the order of their discriminants.
+    /// All variants, in the order of their discriminants.
     pub const ALL: [Self; 5] =
         [Self::ClientBroke, Self::TooLong, Self::TooSlow, Self::MadeWay, Self::AnsweredEarly];
 
-    /// Its name in the log and in the metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::ClientBroke => "client_broke",
--- a/node/src/body/upload.rs
+++ b/node/src/body/upload.rs
@@ -1,4 +1,4 @@
-//! A client's body that is passed on to a backend as it comes.
+//! Streaming a client's request body to a backend.
 
 use super::budget::Reservation;
 use super::interruption::UploadInterruption;
@@ -15,13 +15,14 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The empty chunk that ends a body in chunks takes so many bytes.
+/// The length of the empty chunk that ends a chunked body (`0\r\n\r\n`).
 const LAST_CHUNK_BYTES: u64 = 5;
 
-/// The body of a request to a backend: held whole, or passed on as it comes.
+/// The body of a request to a backend: buffered whole, or streamed from the client.
 pub type RequestBody = Either<Full<Bytes>, Upload>;
 
-/// How long this side, not the client, has held a body up: while nobody asks for more of it.
+/// Measures how long the gateway rather than the client has delayed a request body: the time in which nothing asks
+/// for more of it.
 #[derive(Default)]
 pub struct Backpressure {
     paused: Cell<Duration>,
@@ -29,13 +30,13 @@
 }
 
 impl Backpressure {
-    /// Begins anew, for the next body.
+    /// Restarts the measurement for the next body.
     pub fn reset(&self) {
         self.paused.set(Duration::ZERO);
         self.pausing_since.set(None);
     }
 
-    /// The time in which nobody asked for more.
+    /// Returns the total time in which nothing asked for more bytes.
     pub fn paused(&self) -> Duration {
         self.paused.get() + self.pausing_since.get().map_or(Duration::ZERO, |since| since.elapsed())
     }
@@ -57,19 +58,21 @@
     Interrupted(UploadInterruption),
 }
 
-/// A client's body that goes on as it comes, once.
+/// A client's request body that is streamed to a backend. It can be sent only once.
 pub struct UploadSource {
     incoming: RefCell<SourceBody>,
-    /// As the client told it; unknown where it comes in chunks.
+    /// The length in bytes that the client declared; `None` for a chunked body.
     pub length: Option<u64>,
-    begun: Cell<bool>,
+    started: Cell<bool>,
     state: Cell<State>,
-    lent: Cell<bool>,
-    /// Bytes that have come, and what they take on the way to a backend with their framing.
+    /// Whether an attempt currently sends it.
+    in_use: Cell<bool>,
+    /// Bytes received from the client.
     received: Cell<u64>,
-    framed: Cell<u64>,
-    /// Told how many bytes the request takes in all, once that is known.
-    goal: RefCell<Option<WriteGoal>>,
+    /// Bytes that the forwarded part takes on the wire to a backend, including chunk framing.
+    framed_bytes: Cell<u64>,
+    /// Where to count the attempt as written; used once the length of the whole request is known.
+    write_target: RefCell<Option<WriteTarget>>,
     backpressure: Rc<Backpressure>,
     changed: Notify,
 }
@@ -79,15 +82,16 @@
     rest: Incoming,
 }
 
-struct WriteGoal {
+struct WriteTarget {
     meter: Rc<Meter>,
     attempts_written: Rc<Cell<u64>>,
-    /// Where the body begins, in bytes written.
-    base: u64,
+    /// The connection's count of written bytes at which the body begins.
+    body_start: u64,
 }
 
 impl UploadSource {
-    /// A body of which `first` has come.
+    /// Creates a source from the bytes received already (`first`, with the memory reserved for them) and the unread
+    /// `rest`. `length` is the body's declared length in bytes, `None` for a chunked body.
     pub fn new(
         first: Bytes,
         reservation: Option<Reservation>,
@@ -99,61 +103,69 @@
         Rc::new(UploadSource {
             incoming: RefCell::new(SourceBody { first: Some((first, reservation)), rest }),
             length,
-            begun: Cell::new(false),
+            started: Cell::new(false),
             state: Cell::new(State::Open),
-            lent: Cell::new(false),
+            in_use: Cell::new(false),
             received,
-            framed: Cell::new(0),
-            goal: RefCell::default(),
+            framed_bytes: Cell::new(0),
+            write_target: RefCell::default(),
             backpressure,
             changed: Notify::new(),
         })
     }
 
-    /// Whether some of it has been passed on, so that it can't be sent from its beginning.
-    pub fn begun(&self) -> bool {
-        self.begun.get()
+    /// Returns whether reading has started, so that the body can no longer be sent from its beginning.
+    pub fn started(&self) -> bool {
+        self.started.get()
     }
 
-    /// Bytes that have come from the client.
+    /// Returns the number of bytes received from the client.
     pub fn received(&self) -> u64 {
         self.received.get()
     }
 
-    /// Bytes that the whole body takes on the way to a backend; `None` until that is known.
-    pub fn framed(&self) -> Option<u64> {
-        (self.state.get() == State::Whole).then(|| self.framed.get())
+    /// Returns the number of bytes that the whole body takes on the wire to a backend; `None` until it is complete.
+    pub fn framed_length(&self) -> Option<u64> {
+        (self.state.get() == State::Whole).then(|| self.framed_bytes.get())
     }
 
-    /// Waits for its end; an error where the client does not send what it said.
+    /// Waits until the whole body has been read.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if the client does not send a complete, valid body.
     pub async fn wait_end(&self) -> Result<(), UploadInterruption> {
         loop {
             match self.state.get() {
                 State::Open => self.changed.notified().await,
                 State::Whole => return Ok(()),
-                State::Interrupted(why) => return Err(why),
+                State::Interrupted(reason) => return Err(reason),
             }
         }
     }
 
-    /// Counts the request that it is sent with once its last byte is written.
-    pub fn count_in(&self, meter: Rc<Meter>, attempts_written: Rc<Cell<u64>>, base: u64) {
-        *self.goal.borrow_mut() = Some(WriteGoal { meter, attempts_written, base });
-        self.tell_goal();
+    /// Increments `attempts_written` once the last byte of the request that carries this body has been written to the
+    /// socket of `meter`. `body_start` is that socket's count of written bytes at which the body begins.
+    pub fn count_when_written(&self, meter: Rc<Meter>, attempts_written: Rc<Cell<u64>>, body_start: u64) {
+        *self.write_target.borrow_mut() = Some(WriteTarget { meter, attempts_written, body_start });
+        self.apply_write_target();
     }
 
-    fn tell_goal(&self) {
-        let Some(framed) = self.framed() else { return };
-        if let Some(WriteGoal { meter, attempts_written, base }) = self.goal.borrow_mut().take() {
-            meter.aim(base + framed, attempts_written);
+    /// Passes the write target on to the meter if the length of the whole request is known.
+    fn apply_write_target(&self) {
+        let Some(framed_length) = self.framed_length() else { return };
+        if let Some(WriteTarget { meter, attempts_written, body_start }) =
+            self.write_target.borrow_mut().take()
+        {
+            meter.count_when_written(body_start + framed_length, attempts_written);
         }
     }
 
-    /// Reads what nobody wants any more: closed before, the connection would be reset, and the client might
-    /// lose its answer.
+    /// Reads and discards the rest of a body that is no longer needed. Closing the connection with unread data would
+    /// reset it, and the client might lose its response.
     pub async fn drain(&self) {
         while self.state.get() == State::Open {
-            if self.lent.get() {
+            if self.in_use.get() {
                 self.changed.notified().await;
             } else {
                 std::future::poll_fn(|cx| self.poll_drain(cx)).await;
@@ -161,26 +173,29 @@
         }
     }
 
-    /// Ready after each piece that has been read, and at the end, whichever it is.
+    /// Ready after each piece of data, and once the body is complete or interrupted.
     fn poll_drain(&self, cx: &mut Context<'_>) -> Poll<()> {
-        let next = self.poll(cx);
+        let next = self.poll_data(cx);
         if next.is_ready() || self.state.get() != State::Open {
             return Poll::Ready(());
         }
         Poll::Pending
     }
 
+    /// Ends the body in `state` and notifies the waiting task.
     fn finish(&self, state: State) {
-        let closing = if self.length.is_none() { LAST_CHUNK_BYTES } else { 0 };
-        self.framed.set(self.framed.get() + closing);
+        let last_chunk = if self.length.is_none() { LAST_CHUNK_BYTES } else { 0 };
+        self.framed_bytes.set(self.framed_bytes.get() + last_chunk);
         self.state.set(state);
         self.changed.notify_one();
-        self.tell_goal();
+        self.apply_write_target();
     }
 
-    fn pass(&self, data: Bytes) -> Poll<Option<Bytes>> {
+    /// Accounts for `data` as forwarded and returns it.
+    fn forward(&self, data: Bytes) -> Poll<Option<Bytes>> {
+        // A chunk is preceded by its length in hexadecimal digits and CRLF, and followed by CRLF.
         let framing = if self.length.is_none() { format!("{:x}", data.len()).len() + 4 } else { 0 };
-        self.framed.set(self.framed.get() + (data.len() + framing) as u64);
+        self.framed_bytes.set(self.framed_bytes.get() + (data.len() + framing) as u64);
         self.backpressure.pause();
         if self.incoming.borrow().rest.is_end_stream() {
             self.finish(State::Whole);
@@ -188,19 +203,19 @@
         Poll::Ready(Some(data))
     }
 
-    /// The next bytes; `None` at the end. A client that breaks off is no fault of the backend's: nothing more
-    /// comes then, and the attempt is called off with the request.
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
+    /// Polls for the next bytes; `None` at the end. If the client breaks off, this stays pending rather than failing
+    /// the attempt, since the backend is not at fault; the attempt is then cancelled together with its request.
+    fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Bytes>> {
         match self.state.get() {
             State::Open => {}
             State::Whole => return Poll::Ready(None),
             State::Interrupted(_) => return Poll::Pending,
         }
-        self.begun.set(true);
+        self.started.set(true);
         self.backpressure.resume();
         let first = self.incoming.borrow_mut().first.take();
         if let Some((first, _)) = first.filter(|(first, _)| !first.is_empty()) {
-            return self.pass(first);
+            return self.forward(first);
         }
         loop {
             let next = Pin::new(&mut self.incoming.borrow_mut().rest).poll_frame(cx);
@@ -214,7 +229,7 @@
                     self.finish(State::Interrupted(UploadInterruption::ClientBroke));
                     return Poll::Pending;
                 }
-                // Trailers concern the connection that they came on, and go no further.
+                // Trailers apply only to the connection that they arrived on and are not forwarded.
                 Poll::Ready(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             self.received.set(self.received.get() + data.len() as u64);
@@ -223,26 +238,26 @@
                 return Poll::Pending;
             }
             if !data.is_empty() {
-                return self.pass(data);
+                return self.forward(data);
             }
         }
     }
 }
 
-/// A source, lent to the one attempt that sends it.
+/// The body of the one attempt that currently sends an [`UploadSource`].
 pub struct Upload(Rc<UploadSource>);
 
 impl Upload {
-    /// Lends the source to an attempt, until this is dropped.
+    /// Creates the body of an attempt; the source counts as in use until it is dropped.
     pub fn new(source: Rc<UploadSource>) -> Self {
-        source.lent.set(true);
+        source.in_use.set(true);
         Upload(source)
     }
 }
 
 impl Drop for Upload {
     fn drop(&mut self) {
-        self.0.lent.set(false);
+        self.0.in_use.set(false);
         self.0.changed.notify_one();
     }
 }
@@ -255,7 +270,7 @@
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
-        self.0.poll(cx).map(|data| data.map(|data| Ok(Frame::data(data))))
+        self.0.poll_data(cx).map(|data| data.map(|data| Ok(Frame::data(data))))
     }
 
     fn is_end_stream(&self) -> bool {
--- a/node/src/link.rs
+++ b/node/src/link.rs
@@ -1,4 +1,4 @@
-//! Client connections over sockets that count: one request at a time.
+//! HTTP/1.1 client connections over metered sockets, each carrying one request at a time.
 
 use crate::body::upload::RequestBody;
 use crate::meter::{Meter, MeteredStream, MAX_HEAD_BYTES};
@@ -13,25 +13,25 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A link is not used again sooner after its last answer. Danger: an answer names no request, and a second one to the
-/// last request, which was seen to come up to 4 ms after it, would be taken for the next one's.
+/// How long a connection stays unused after its last response. Responses do not identify their request, so a second
+/// response to the last request would be taken for the response to the next one; some have arrived up to 4 ms late.
 pub const REUSE_DELAY: Duration = Duration::from_millis(10);
 
-/// A request that got no answer.
+/// The error of a request that got no response.
 pub struct SendError {
-    /// Whether its last byte had been written: only then may it have run.
+    /// Whether its last byte had been written. Only then may the peer have processed the request.
     pub fully_written: bool,
 }
 
-/// A connection that carries one request at a time; dropping it closes the socket.
+/// An HTTP/1.1 client connection that carries one request at a time. Dropping it closes the socket.
 pub struct Link {
     sender: http1::SendRequest<RequestBody>,
     meter: Rc<Meter>,
     task: AbortHandle,
 }
 
-/// Danger: an aborted task holds what it has until the runtime comes to it, and whoever counts connections counts
-/// this one no more: its descriptor is given back at once.
+/// Closes the socket at once. An aborted task keeps its resources until the runtime gets to it, but the callers'
+/// bounds on connections stop counting this one on drop, so its descriptor must be free by then.
 impl Drop for Link {
     fn drop(&mut self) {
         self.task.abort();
@@ -40,6 +40,11 @@
 }
 
 impl Link {
+    /// Opens a connection to `address`.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error of the socket call that failed.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
@@ -52,47 +57,56 @@
         Ok(Link { sender, meter, task })
     }
 
-    /// Whether the other side still holds it open and has sent nothing that was not asked for. Danger: what
-    /// stands behind an answer would be taken for the next one's; the library ends the connection over what
-    /// it has read of that, and the rest waits in the socket.
+    /// Returns whether the peer has not closed the connection and has sent nothing unexpected. Bytes after the end of
+    /// a response would be taken for the next response: hyper closes the connection if it has read such bytes, and
+    /// the check of the socket finds those not read yet.
     pub fn usable(&self) -> bool {
         !self.sender.is_closed() && self.meter.is_open_and_empty()
     }
 
-    /// Bytes written to the socket so far.
+    /// Returns the number of bytes written to the socket so far.
     pub fn written(&self) -> u64 {
         self.meter.written()
     }
 
-    /// The socket, for who counts what is written to it.
+    /// Returns the meter of the connection's socket.
     pub fn meter(&self) -> Rc<Meter> {
         self.meter.clone()
     }
 
-    /// Waits until a request can be sent; an error where the connection has ended.
+    /// Waits until a request can be sent.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error, with `fully_written` false, if the connection has ended.
     pub async fn ready(&mut self) -> Result<(), SendError> {
         self.sender.ready().await.map_err(|_| SendError { fully_written: false })
     }
 
-    /// Sends a request and waits for the head of its answer. `length` is what it takes on the wire, `None` as
-    /// long as that is not known.
+    /// Sends a request and waits for the head of its response. `length` returns the number of bytes that the request
+    /// takes on the wire, `None` while that is not known.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the connection fails before the head of the response has been received.
     pub async fn send(
         &mut self,
         request: Request<RequestBody>,
         length: impl Fn() -> Option<u64>,
     ) -> Result<Response<Incoming>, SendError> {
         self.ready().await?;
-        let before = self.meter.written();
+        let written_before = self.meter.written();
         self.sender.try_send_request(request).await.map_err(|e| {
-            // A message that comes back was never begun.
-            let written =
-                e.message().is_none() && length().is_some_and(|n| self.meter.written() - before >= n);
-            SendError { fully_written: written }
+            // hyper returns the message if it has not started to write it.
+            let fully_written =
+                e.message().is_none() && length().is_some_and(|n| self.meter.written() - written_before >= n);
+            SendError { fully_written }
         })
     }
 }
 
-/// The bytes that a request's head takes on the wire. It must state its length itself wherever one is due.
+/// Returns the number of bytes that a request's head takes on the wire. The request must already contain the
+/// `content-length` or `transfer-encoding` field if it needs one, since hyper would otherwise add it.
 pub fn head_length<B>(request: &Request<B>) -> u64 {
     let target = request.uri().path_and_query().map_or(1, |p| p.as_str().len());
     let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
--- a/node/src/meter.rs
+++ b/node/src/meter.rs
@@ -1,4 +1,4 @@
-//! Sockets that know what has gone through them.
+//! Sockets that count the bytes read and written, detect that the peer has closed, and read ahead of their user.
 
 use crate::body::budget::{Budget, Reservation};
 use crate::tcp_info::since_last_data;
@@ -16,42 +16,47 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A head longer than this is no head.
+/// The largest head of an HTTP message that is accepted, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Heads are seldom longer.
-const SHORT_HEAD: usize = 1024;
-/// What has come behind a request in work is read ahead up to this, in steps, so that the client's end behind it
-/// is seen: a thousand pipelined requests. Beyond it, bytes are thrown away, and the connection ends with the
-/// answer; at a bound that is several times what sockets hold, it ends at once: a client that sends on and on.
-const READ_AHEAD: usize = 256 * 1024;
-const STEP: usize = 16 * 1024;
-const MOST_SKIPPED: usize = 16 << 20;
+/// Most heads are at most this long, in bytes.
+const TYPICAL_HEAD_BYTES: usize = 1024;
+/// How many bytes that follow a request are read ahead while the request is processed, so that the client's closing
+/// of the connection behind them is detected. This is enough for a thousand pipelined requests. Bytes beyond it are
+/// discarded, and the connection is closed after the response.
+const MAX_READ_AHEAD_BYTES: usize = 256 * 1024;
+/// The unit in which memory for reading ahead is reserved, in bytes.
+const READ_AHEAD_STEP_BYTES: usize = 16 * 1024;
+/// The number of discarded bytes, several times what the socket buffers hold, after which the client is taken to send
+/// without end and the connection is closed at once.
+const MAX_DISCARDED_BYTES: usize = 16 << 20;
 
-/// What has been read before anybody asked for it.
+/// Bytes read from the socket before its user asked for them.
 #[derive(Default)]
 struct ReadAhead {
     bytes: BytesMut,
-    /// A part of what bodies may hold for each `STEP`.
+    /// One reservation in the body budget for each `READ_AHEAD_STEP_BYTES`.
     reserved: Vec<Reservation>,
-    /// Bytes thrown away behind those.
-    skipped: usize,
+    /// The number of bytes discarded after those.
+    discarded: usize,
 }
 
 impl ReadAhead {
-    /// Room for more; 0 where the bound is reached, `None` where bodies need the memory.
-    fn room(&mut self, budget: &Budget) -> Option<usize> {
-        if self.bytes.len() == self.reserved.len() * STEP {
-            if self.bytes.len() >= READ_AHEAD {
+    /// Reserves space to read more and returns its size in bytes: 0 at the bound, `None` if the budget does not allow
+    /// it.
+    fn reserve_space(&mut self, budget: &Budget) -> Option<usize> {
+        if self.bytes.len() == self.reserved.len() * READ_AHEAD_STEP_BYTES {
+            if self.bytes.len() >= MAX_READ_AHEAD_BYTES {
                 return Some(0);
             }
-            self.reserved.push(budget.reserve_spare(STEP)?);
+            self.reserved.push(budget.reserve_spare(READ_AHEAD_STEP_BYTES)?);
         }
-        let room = self.reserved.len() * STEP - self.bytes.len();
-        self.bytes.reserve(room);
-        Some(room)
+        let space = self.reserved.len() * READ_AHEAD_STEP_BYTES - self.bytes.len();
+        self.bytes.reserve(space);
+        Some(space)
     }
 
-    fn give(&mut self, buf: &mut ReadBuf<'_>) {
+    /// Moves as many bytes as fit into `buf`, and releases the memory when all have been moved.
+    fn move_into(&mut self, buf: &mut ReadBuf<'_>) {
         let n = self.bytes.len().min(buf.remaining());
         buf.put_slice(&self.bytes[..n]);
         self.bytes.advance(n);
@@ -61,24 +66,26 @@
     }
 }
 
-/// A socket as others than its one user see it.
+/// The state of a socket that its user and observers share.
 pub struct Meter {
-    /// `None` once it is closed from this side.
+    /// `None` once the socket has been closed locally.
     stream: RefCell<Option<Rc<TcpStream>>>,
     ahead: RefCell<ReadAhead>,
     read: Cell<u64>,
     written: Cell<u64>,
-    /// The socket took no more at the last write: its user holds bytes that are still to be written.
+    /// Whether the last write would have blocked, so that the user has bytes left to write.
     write_blocked: Cell<bool>,
-    /// What has been read since `record_next_head`, up to the end of a head; for those who want it.
-    head: RefCell<Option<Vec<u8>>>,
-    /// Told once this much has been written: the request that goes out is whole then.
-    goal: RefCell<Option<(u64, Rc<Cell<u64>>)>>,
+    /// The bytes read since `record_next_head`, at least up to the end of the head; `None` before its first call.
+    recorded_head: RefCell<Option<Vec<u8>>>,
+    /// The count of written bytes at which the current request is complete, and the counter to increment then.
+    write_target: RefCell<Option<(u64, Rc<Cell<u64>>)>>,
 }
 
 impl Meter {
+    /// Creates a meter that owns `stream`.
     pub fn new(stream: TcpStream) -> Rc<Self> {
-        let (ahead, head, goal) = (RefCell::default(), RefCell::default(), RefCell::default());
+        let (ahead, recorded_head, write_target) =
+            (RefCell::default(), RefCell::default(), RefCell::default());
         let stream = RefCell::new(Some(Rc::new(stream)));
         Rc::new(Meter {
             stream,
@@ -86,109 +93,112 @@
             read: Cell::new(0),
             written: Cell::new(0),
             write_blocked: Cell::new(false),
-            head,
-            goal,
+            recorded_head,
+            write_target,
         })
     }
 
-    /// The socket, as long as it is open on this side.
+    /// Returns the socket, or a `NotConnected` error if it has been closed locally.
     fn stream(&self) -> io::Result<Rc<TcpStream>> {
         self.stream.borrow().clone().ok_or_else(|| io::ErrorKind::NotConnected.into())
     }
 
-    /// Gives the descriptor back, whoever else knows of the socket.
+    /// Closes the socket, even if others still hold this meter.
     pub fn close(&self) {
         drop(self.stream.take());
     }
 
-    /// Bytes taken so far by the socket's user.
+    /// Returns the number of bytes read so far by the socket's user.
     pub fn read(&self) -> u64 {
         self.read.get()
     }
 
-    /// Bytes given to the socket so far.
+    /// Returns the number of bytes written to the socket so far.
     pub fn written(&self) -> u64 {
         self.written.get()
     }
 
-    /// Whether the socket's user waits to write.
+    /// Returns whether the socket's user is waiting to write.
     pub fn write_blocked(&self) -> bool {
         self.write_blocked.get()
     }
 
-    /// Counts what is written once there is so much of it.
-    pub fn aim(&self, at: u64, tries: Rc<Cell<u64>>) {
-        if self.written.get() >= at {
-            tries.set(tries.get() + 1);
+    /// Increments `counter` once the number of bytes written so far reaches `total_bytes`.
+    pub fn count_when_written(&self, total_bytes: u64, counter: Rc<Cell<u64>>) {
+        if self.written.get() >= total_bytes {
+            counter.set(counter.get() + 1);
         } else {
-            *self.goal.borrow_mut() = Some((at, tries));
+            *self.write_target.borrow_mut() = Some((total_bytes, counter));
         }
     }
 
-    /// From now on keeps the next head as it comes.
+    /// Starts recording the bytes read from now on, to keep the next head.
     pub fn record_next_head(&self) {
-        let mut head = self.head.borrow_mut();
-        let mut kept = head.take().unwrap_or_default();
-        kept.clear();
-        *head = Some(kept);
+        let mut head = self.recorded_head.borrow_mut();
+        let mut buffer = head.take().unwrap_or_default();
+        buffer.clear();
+        *head = Some(buffer);
     }
 
-    /// Whether the head that was kept is whole and names this field. Danger: of a length that stands beside
-    /// chunks the library tells nothing, and a backend may go by it.
+    /// Returns whether the recorded head has the field `field`; `None` if no complete head is recorded. This finds a
+    /// `content-length` next to `transfer-encoding: chunked`, which hyper does not report although a backend might go
+    /// by it.
     pub fn recorded_head_has_field(&self, field: &str) -> Option<bool> {
-        let head = self.head.borrow();
+        let head = self.recorded_head.borrow();
         let mut lines = head.as_deref()?.split(|b| *b == b'\n').map(|l| l.trim_ascii_end());
-        let mut named = false;
+        let mut found = false;
         lines.find(|line| {
             let name = line.split(|b| *b == b':').next().unwrap_or_default().trim_ascii();
-            named |= name.eq_ignore_ascii_case(field.as_bytes());
+            found |= name.eq_ignore_ascii_case(field.as_bytes());
             line.is_empty()
         })?;
-        Some(named)
+        Some(found)
     }
 
-    fn keep(&self, bytes: &[u8]) {
-        if let Some(head) = self.head.borrow_mut().as_mut() {
-            let room = MAX_HEAD_BYTES.saturating_sub(head.len());
-            // What comes behind a head is not looked at: a large body is not kept.
-            if head.len() < SHORT_HEAD || !head.windows(4).any(|w| w == b"\r\n\r\n") {
-                head.extend_from_slice(&bytes[..bytes.len().min(room)]);
+    /// Appends `bytes` to the recorded head, if one is being recorded and not complete.
+    fn record_head(&self, bytes: &[u8]) {
+        if let Some(head) = self.recorded_head.borrow_mut().as_mut() {
+            let space = MAX_HEAD_BYTES.saturating_sub(head.len());
+            // Recording stops once the head is complete, so that a large body is not kept.
+            if head.len() < TYPICAL_HEAD_BYTES || !head.windows(4).any(|w| w == b"\r\n\r\n") {
+                head.extend_from_slice(&bytes[..bytes.len().min(space)]);
             }
         }
     }
 
-    /// Whether the socket is open and holds nothing unread, as the kernel has it at this moment.
+    /// Returns whether the socket is open and nothing is unread, asking the kernel rather than the runtime.
     pub fn is_open_and_empty(&self) -> bool {
         self.ahead.borrow().bytes.is_empty()
             && self.peek().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// How long ago the last bytes came, whether they have been read or not.
+    /// Returns the time since the last bytes arrived, whether or not they have been read; zero if it is not known.
     pub fn since_last_data(&self) -> Duration {
         self.stream().ok().and_then(|stream| since_last_data(&stream)).unwrap_or_default()
     }
 
+    /// Peeks at one byte in the socket; 0 means that the peer has ended its sending.
     fn peek(&self) -> io::Result<usize> {
         let stream = self.stream()?;
         loop {
             match SockRef::from(&*stream).peek(&mut [MaybeUninit::uninit()]) {
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                done => return done,
+                result => return result,
             }
         }
     }
 }
 
 impl Meter {
-    /// Whether the other side has ended the connection or its sending. Danger: with bytes in between that
-    /// nobody reads, neither a read nor a peek comes to that end; the runtime is told of it beside them.
+    /// Returns whether the peer has closed the connection or its sending side. While unread bytes precede the end,
+    /// neither a read nor a peek reaches it, but the runtime is notified of it independently.
     pub fn peer_closed(&self) -> bool {
         let Ok(stream) = self.stream() else { return true };
-        // On Linux, this waits for the read side's end as well.
-        let told = pin!(stream.ready(Interest::PRIORITY)).poll(&mut Context::from_waker(Waker::noop()));
-        match told {
+        // On Linux, `Interest::PRIORITY` also reports the end of the read side.
+        let readiness = pin!(stream.ready(Interest::PRIORITY)).poll(&mut Context::from_waker(Waker::noop()));
+        match readiness {
             Poll::Ready(Ok(ready)) if ready.is_read_closed() => true,
-            // Where it is not told, the end still shows once there is nothing before it.
+            // Without a notification, the end is still found if no unread bytes precede it.
             _ => match self.peek() {
                 Ok(n) => n == 0,
                 Err(e) => e.kind() != io::ErrorKind::WouldBlock,
@@ -196,63 +206,66 @@
         }
     }
 
-    /// Waits until the runtime is told that the other side has ended its sending, whatever stands unread.
+    /// Waits until the runtime is notified that the peer has closed its sending side, whether or not bytes are
+    /// unread.
     pub async fn wait_peer_closed(&self) {
         let Ok(stream) = self.stream() else { return };
-        let told = stream.ready(Interest::PRIORITY).await;
-        if told.is_ok_and(|ready| !ready.is_read_closed()) {
+        let readiness = stream.ready(Interest::PRIORITY).await;
+        if readiness.is_ok_and(|ready| !ready.is_read_closed()) {
             std::future::pending().await
         }
     }
 
-    /// Reads on while the socket's user does not, up to the bounds; ready where the other side has ended, or
-    /// sends without end. With `skips`, what goes beyond is thrown away, and the user gets nothing more. Danger: an end
-    /// behind more than the sockets hold reaches this machine only as that is read.
-    pub fn poll_read_ahead(&self, cx: &mut Context<'_>, budget: &Budget, skips: bool) -> Poll<()> {
+    /// Reads ahead while the socket's user does not read. Ready once the peer has closed, or has sent more than is
+    /// read ahead and discarded at most. With `discard_excess`, bytes beyond the read-ahead bound are discarded, and
+    /// the user reads nothing after the bytes read ahead. If the peer sends more than the socket buffers hold, its
+    /// closing reaches this machine only after those bytes are read.
+    pub fn poll_read_ahead(&self, cx: &mut Context<'_>, budget: &Budget, discard_excess: bool) -> Poll<()> {
         let Ok(stream) = self.stream() else { return Poll::Ready(()) };
         let mut ahead = self.ahead.borrow_mut();
         loop {
             if ready!(stream.poll_read_ready(cx)).is_err() {
                 return Poll::Ready(());
             }
-            // Memory that bodies need is not waited for: the end may be told without a read.
-            let room = if ahead.skipped > 0 { Some(0) } else { ahead.room(budget) };
-            let Some(room) = room else { return Poll::Pending };
-            let done = if room > 0 {
-                try_read(&stream, (&mut ahead.bytes).limit(room))
-            } else if !skips {
+            // There is no wait for memory in the budget: the runtime may be notified of the end without a read.
+            let space = if ahead.discarded > 0 { Some(0) } else { ahead.reserve_space(budget) };
+            let Some(space) = space else { return Poll::Pending };
+            let result = if space > 0 {
+                try_read(&stream, (&mut ahead.bytes).limit(space))
+            } else if !discard_excess {
                 return Poll::Pending;
-            } else if ahead.skipped < MOST_SKIPPED {
-                try_read(&stream, &mut [0; STEP][..]).inspect(|n| ahead.skipped += n)
+            } else if ahead.discarded < MAX_DISCARDED_BYTES {
+                try_read(&stream, &mut [0; READ_AHEAD_STEP_BYTES][..]).inspect(|n| ahead.discarded += n)
             } else {
                 return Poll::Ready(());
             };
-            match done {
+            match result {
                 Ok(0) => return Poll::Ready(()),
                 Ok(_) => {}
-                Err(e) if is_repeated(&e) => {}
+                Err(e) if should_retry(&e) => {}
                 Err(_) => return Poll::Ready(()),
             }
         }
     }
 
-    /// Whether bytes were thrown away: no request can follow.
+    /// Returns whether bytes have been discarded, so that no further request can be read.
     pub fn has_discarded(&self) -> bool {
-        self.ahead.borrow().skipped > 0
+        self.ahead.borrow().discarded > 0
     }
 }
 
-/// A read. Danger: one that comes short tells nothing of what is left in the socket; only one that would block does.
+/// Reads once into `buf` without waiting. Unlike `AsyncRead`, this does not take a short read as a sign that the
+/// socket is empty; only a read that would block clears its readiness.
 fn try_read(stream: &TcpStream, mut buf: impl BufMut) -> io::Result<usize> {
     stream.try_read_buf(&mut buf)
 }
 
-/// Whether a call is to be made again: it was interrupted, or is not possible yet.
-fn is_repeated(e: &io::Error) -> bool {
+/// Returns whether a call is to be repeated: it was interrupted or would have blocked.
+fn should_retry(e: &io::Error) -> bool {
     matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Repeats what was interrupted, or may not be possible yet.
+/// Calls `io` when the socket is ready, and repeats it while it is interrupted or would block.
 fn poll_io<T>(
     mut poll_ready: impl FnMut() -> Poll<io::Result<()>>,
     mut io: impl FnMut() -> io::Result<T>,
@@ -260,32 +273,33 @@
     loop {
         ready!(poll_ready())?;
         match io() {
-            Err(e) if is_repeated(&e) => {}
-            done => return Poll::Ready(done),
+            Err(e) if should_retry(&e) => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Counts the bytes that go through the socket.
+/// The stream of a metered socket, for its user; counts the bytes that pass through.
 pub struct MeteredStream(pub Rc<Meter>);
 
 impl MeteredStream {
-    fn note(&self, done: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.0.write_blocked.set(done.is_pending());
-        if let Poll::Ready(Ok(n)) = done {
+    /// Records the result of a write in the meter and passes it on.
+    fn record_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        self.0.write_blocked.set(result.is_pending());
+        if let Poll::Ready(Ok(n)) = result {
             self.0.written.set(self.0.written.get() + n as u64);
-            let mut goal = self.0.goal.borrow_mut();
-            if let Some((_, tries)) = goal.take_if(|g| self.0.written.get() >= g.0) {
-                tries.set(tries.get() + 1);
+            let mut target = self.0.write_target.borrow_mut();
+            if let Some((_, counter)) = target.take_if(|entry| self.0.written.get() >= entry.0) {
+                counter.set(counter.get() + 1);
             }
         }
-        done
+        result
     }
 }
 
 impl AsyncRead for MeteredStream {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let (meter, before) = (&self.0, buf.filled().len());
+        let (meter, filled_before) = (&self.0, buf.filled().len());
         if meter.ahead.borrow().bytes.is_empty() {
             if meter.has_discarded() {
                 return Poll::Pending;
@@ -293,10 +307,10 @@
             let stream = meter.stream()?;
             ready!(poll_io(|| stream.poll_read_ready(cx), || try_read(&stream, &mut *buf)))?;
         } else {
-            meter.ahead.borrow_mut().give(buf);
+            meter.ahead.borrow_mut().move_into(buf);
         }
-        meter.read.set(meter.read.get() + (buf.filled().len() - before) as u64);
-        meter.keep(&buf.filled()[before..]);
+        meter.read.set(meter.read.get() + (buf.filled().len() - filled_before) as u64);
+        meter.record_head(&buf.filled()[filled_before..]);
         Poll::Ready(Ok(()))
     }
 }
@@ -304,7 +318,7 @@
 impl AsyncWrite for MeteredStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let stream = self.0.stream()?;
-        self.note(poll_io(|| stream.poll_write_ready(cx), || stream.try_write(buf)))
+        self.record_write(poll_io(|| stream.poll_write_ready(cx), || stream.try_write(buf)))
     }
     fn poll_write_vectored(
         self: Pin<&mut Self>,
@@ -312,7 +326,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let stream = self.0.stream()?;
-        self.note(poll_io(|| stream.poll_write_ready(cx), || stream.try_write_vectored(bufs)))
+        self.record_write(poll_io(|| stream.poll_write_ready(cx), || stream.try_write_vectored(bufs)))
     }
     fn is_write_vectored(&self) -> bool {
         true
--- a/node/src/tcp_info.rs
+++ b/node/src/tcp_info.rs
@@ -1,27 +1,27 @@
-//! What the kernel knows of a TCP connection (`TCP_INFO`, Linux).
+//! Kernel statistics of a TCP connection (`TCP_INFO`, Linux).
 
 use std::mem::{offset_of, size_of, MaybeUninit};
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// How long ago the last data came over a connection, whether or not it has been read; `None` where the kernel does
-/// not tell. In milliseconds, to the kernel's clock tick.
+/// Returns the time since the connection last received data, whether or not it has been read; `None` if the kernel
+/// does not report it. The value is in whole milliseconds and as exact as the kernel's clock tick.
 #[allow(unsafe_code)]
 pub fn since_last_data(stream: &TcpStream) -> Option<Duration> {
     let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the descriptor is open for as long as the stream is borrowed, the buffer is as long as `length` says, and
-    // all bit patterns are valid for its fields, which are plain integers.
+    // SAFETY: the descriptor is open while the stream is borrowed, the buffer is `length` bytes long, and all bit
+    // patterns are valid for its fields, which are plain integers.
     let info = unsafe {
-        let done = libc::getsockopt(
+        let status = libc::getsockopt(
             stream.as_raw_fd(),
             libc::IPPROTO_TCP,
             libc::TCP_INFO,
             info.as_mut_ptr().cast(),
             &mut length,
         );
-        if done != 0 {
+        if status != 0 {
             return None;
         }
         info.assume_init()
