--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -291,7 +291,7 @@
 
     /// Probes a backend by requesting its load report over a new connection. Its idle connections are closed: it is
     /// probed because it was ejected, and they may lead to a machine that has become unreachable and would stay
-    /// silent even if the backend works again.
+    /// silent even if its replacement works.
     pub async fn probe(self: &Rc<Self>, id: BackendId) -> CompletedAttempt {
         self.close_idle(id);
         let exchange = async {
