--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -170,18 +170,18 @@
                 Some(generation) if generation != connection.generation => continue,
                 Some(_) => {}
             }
-            let left = deadline.get().saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let time_left = deadline.get().saturating_duration_since(Instant::now());
+            if time_left.is_zero() {
                 return Ok(Outcome::NotSent.into());
             }
-            let told = message.advertised_time(left);
+            let announced_time = message.announced_time(time_left);
             let backend_in_service = generation == Some(connection.generation);
-            let facts = SendFacts { client_closed, backend_in_service, left, told };
+            let facts = SendFacts { client_closed, backend_in_service, time_left, announced_time };
             if let Err(violation) = facts.check() {
-                self.guard.refused(violation, &format!("{} {}", message.method, message.target));
+                self.guard.record(violation, &format!("{} {}", message.method, message.target));
                 return Ok(Outcome::NotSent.into());
             }
-            let request = message.request(told);
+            let request = message.request(announced_time);
             let (head_bytes, written_before) = (head_length(&request), connection.link.written());
             let request_length = || message.body.framed_length().map(|body_bytes| head_bytes + body_bytes);
             match (&message.body, request_length()) {
--- a/node/src/backend/message.rs
+++ b/node/src/backend/message.rs
@@ -88,15 +88,15 @@
         matches!(&self.body, Payload::Streamed(source) if source.started())
     }
 
-    /// Returns the time that a backend is told it has, given the time left. It is at most `client_wait`: while the
+    /// Returns the time that a backend is told it has, given the `time_left`. It is at most `client_wait`: while the
     /// body is still being received, the client's wait has not begun.
-    pub(super) fn advertised_time(&self, left: Duration) -> Duration {
-        left.min(self.client_wait)
+    pub(super) fn announced_time(&self, time_left: Duration) -> Duration {
+        time_left.min(self.client_wait)
     }
 
-    /// Builds the request of an attempt, with `advertised_time` in its `x-time-left-ms` field, rounded up to a
+    /// Builds the request of an attempt, with `announced_time` in its `x-time-left-ms` field, rounded up to a
     /// millisecond.
-    pub(super) fn request(&self, advertised_time: Duration) -> Request<RequestBody> {
+    pub(super) fn request(&self, announced_time: Duration) -> Request<RequestBody> {
         let (body, length) = match &self.body {
             Payload::Whole { body, .. } => (Either::Left(Full::new(body.clone())), Some(body.len() as u64)),
             Payload::Streamed(source) => (Either::Right(Upload::new(source.clone())), source.length),
@@ -106,8 +106,8 @@
         *request.uri_mut() = self.target.clone();
         let headers = request.headers_mut();
         headers.clone_from(&self.headers);
-        let advertised_ms = advertised_time.as_micros().div_ceil(1000) as u64;
-        headers.insert("x-time-left-ms", advertised_ms.into());
+        let announced_ms = announced_time.as_micros().div_ceil(1000) as u64;
+        headers.insert("x-time-left-ms", announced_ms.into());
         match length {
             Some(length) if self.method == Method::POST => {
                 drop(headers.insert(CONTENT_LENGTH, length.into()))
--- a/node/src/body/download.rs
+++ b/node/src/body/download.rs
@@ -118,8 +118,8 @@
     /// Returns how much has been received so far.
     pub fn progress(&self) -> Progress {
         let (backend, last_received) = (self.backend, self.last_received);
-        let (extent, received) = (self.limit.length_class(), self.limit.received());
-        Progress { backend, length_class: extent, received, last_received }
+        let (length_class, received) = (self.limit.length_class(), self.limit.received());
+        Progress { backend, length_class, received, last_received }
     }
 
     fn release(&mut self) {
