--- a/node/src/driver/backend_list.rs
+++ b/node/src/driver/backend_list.rs
@@ -10,17 +10,17 @@
 /// Backends remembered; further ones are passed over.
 pub(super) const MAX_BACKENDS: usize = 4096;
 /// Those that have gone are remembered for so long: no list is older.
-const REMEMBER_GONE: Micros = 120_000_000;
+const GONE_RETENTION: Micros = 120_000_000;
 
 /// A backend that has gone.
-struct Gone {
+struct GoneBackend {
     /// The start of its last process, in milliseconds of Unix time.
     since_ms: u64,
-    at: Micros,
+    removed_at: Micros,
 }
 
 /// A backend that a list tells of.
-pub(super) struct Listed {
+pub(super) struct UpdatedBackend {
     /// As the module knows it.
     pub row: BackendRow,
     /// Its address, unless it is gone.
@@ -36,9 +36,9 @@
     listed: HashMap<String, (BackendId, Endpoint)>,
     /// The ids of these.
     ids: HashSet<BackendId>,
-    gone: HashMap<String, Gone>,
+    gone: HashMap<String, GoneBackend>,
     /// Out by hand, listed or not.
-    barred: BTreeMap<String, BackendId>,
+    disabled: BTreeMap<String, BackendId>,
 }
 
 impl BackendList {
@@ -48,18 +48,18 @@
     }
 
     /// Whether a backend of that name is listed or out by hand.
-    pub fn knows(&self, name: &str) -> bool {
-        self.listed.contains_key(name) || self.barred.contains_key(name)
+    pub fn knows_backend(&self, name: &str) -> bool {
+        self.listed.contains_key(name) || self.disabled.contains_key(name)
     }
 
     /// Takes a backend out by hand, or back in; one that is not listed yet, too.
-    pub fn bar(&mut self, name: &str, out: bool) -> BackendId {
-        let known = self.listed.get(name).map(|(id, _)| *id).or(self.barred.get(name).copied());
-        let id = known.unwrap_or_else(|| id_of(name, &self.ids));
+    pub fn set_disabled(&mut self, name: &str, out: bool) -> BackendId {
+        let known = self.listed.get(name).map(|(id, _)| *id).or(self.disabled.get(name).copied());
+        let id = known.unwrap_or_else(|| backend_id(name, &self.ids));
         if out {
-            self.barred.insert(name.to_owned(), id);
+            self.disabled.insert(name.to_owned(), id);
         } else {
-            self.barred.remove(name);
+            self.disabled.remove(name);
         }
         id
     }
@@ -67,12 +67,12 @@
     /// All that is listed, and the names of those that are out by hand.
     pub fn snapshot(&self) -> (List, Vec<String>) {
         let endpoints = self.listed.values().map(|(_, e)| e.clone()).collect();
-        (List { index: 0, snapshot: true, endpoints }, self.barred.keys().cloned().collect())
+        (List { index: 0, snapshot: true, endpoints }, self.disabled.keys().cloned().collect())
     }
 
     /// Whether a list that may be older than what is held tells of this backend at all. Danger: what was told to
     /// drain or to go must not come back with it; a process that has started since may.
-    pub fn stays(&self, endpoint: &mut Endpoint) -> bool {
+    pub fn merge_possibly_stale(&self, endpoint: &mut Endpoint) -> bool {
         match self.listed.get(&endpoint.name) {
             Some((_, held)) if endpoint.since_ms < held.since_ms => *endpoint = held.clone(),
             Some((_, held))
@@ -87,7 +87,7 @@
     }
 
     /// The names that a whole list leaves out: these are gone.
-    pub fn left_out(&self, list: &List) -> Vec<String> {
+    pub fn missing_from(&self, list: &List) -> Vec<String> {
         let named: HashSet<&str> = list.endpoints.iter().map(|e| e.name.as_str()).collect();
         self.listed.keys().filter(|name| !named.contains(name.as_str())).cloned().collect()
     }
@@ -97,40 +97,40 @@
         let (id, endpoint) = self.listed.remove(name)?;
         self.ids.remove(&id);
         if self.gone.len() >= MAX_BACKENDS {
-            self.forget_gone(now);
+            self.expire_gone(now);
         }
         if self.gone.len() < MAX_BACKENDS {
-            self.gone.insert(name.to_owned(), Gone { since_ms: endpoint.since_ms, at: now });
+            self.gone.insert(name.to_owned(), GoneBackend { since_ms: endpoint.since_ms, removed_at: now });
         }
         Some(id)
     }
 
     /// Forgets those that have gone long ago.
-    pub fn forget_gone(&mut self, now: Micros) {
-        self.gone.retain(|_, gone| now.saturating_sub(gone.at) < REMEMBER_GONE);
+    pub fn expire_gone(&mut self, now: Micros) {
+        self.gone.retain(|_, gone| now.saturating_sub(gone.removed_at) < GONE_RETENTION);
     }
 
     /// Takes in what a list tells of a backend; `None` for one more than may be remembered.
-    pub fn take_in(&mut self, endpoint: Endpoint, module: &Config) -> Option<Listed> {
+    pub fn update(&mut self, endpoint: Endpoint, module: &Config) -> Option<UpdatedBackend> {
         let known = self.listed.get(&endpoint.name).map(|(id, held)| (*id, held.since_ms));
         if known.is_none() && self.listed.len() >= MAX_BACKENDS {
             return None;
         }
-        let id = known.map_or_else(|| id_of(&endpoint.name, &self.ids), |(id, _)| id);
+        let id = known.map_or_else(|| backend_id(&endpoint.name, &self.ids), |(id, _)| id);
         let same_process = known.is_some_and(|(_, since_ms)| since_ms == endpoint.since_ms);
-        let row = row(id, &endpoint, module);
+        let row = backend_row(id, &endpoint, module);
         // Names are ever new: what is gone is forgotten at once.
         if row.state != BackendState::Gone {
             self.gone.remove(&endpoint.name);
             self.ids.insert(id);
             self.listed.insert(endpoint.name.clone(), (id, endpoint.clone()));
         }
-        Some(Listed { row, endpoint, same_process })
+        Some(UpdatedBackend { row, endpoint, same_process })
     }
 }
 
 /// A backend as the module knows it.
-fn row(backend: BackendId, endpoint: &Endpoint, module: &Config) -> BackendRow {
+fn backend_row(backend: BackendId, endpoint: &Endpoint, module: &Config) -> BackendRow {
     let place = |names: &[String], name: &str| {
         let at = names.iter().position(|n| n == name);
         at.and_then(|i| u8::try_from(i).ok()).unwrap_or(u8::MAX)
@@ -148,7 +148,7 @@
 
 /// The module's id for a backend: made from its name by FNV-1a, which all gateways know it by and which stays
 /// when its process restarts or its address changes.
-fn id_of(name: &str, ids: &HashSet<BackendId>) -> BackendId {
+fn backend_id(name: &str, ids: &HashSet<BackendId>) -> BackendId {
     let mut hash = fnv1a(name.as_bytes());
     loop {
         let bytes = hash.to_be_bytes();
--- a/node/src/driver/report.rs
+++ b/node/src/driver/report.rs
@@ -3,51 +3,54 @@
 use caperwind::{CounterResult, Diagnostics, Outcome, RefusalCounts};
 
 /// Sweeps from one report in the log to the next.
-const SWEEPS: u32 = 5;
+const SWEEPS_PER_REPORT: u32 = 5;
 
 /// Counts since the last report.
 #[derive(Default)]
-pub(super) struct Tally {
+pub(super) struct ReportCounts {
     sweeps: u32,
     /// Attempts, by the place of their outcome in `Outcome`.
     attempts: [u32; 8],
     /// Calls to the counter: totals in time, turned away, unanswered, overdue, and overdue ones that came.
-    calls: [u32; 5],
+    counter_calls: [u32; 5],
     /// Refusals as the module had counted them by then.
-    before: RefusalCounts,
+    reported_refusals: RefusalCounts,
 }
 
-impl Tally {
+impl ReportCounts {
     /// An attempt has ended.
-    pub fn attempt(&mut self, outcome: Outcome) {
+    pub fn count_attempt(&mut self, outcome: Outcome) {
         self.attempts[outcome as usize] += 1;
     }
 
     /// A call to the counter has its result.
-    pub fn call(&mut self, result: CounterResult) {
+    pub fn count_call(&mut self, result: CounterResult) {
         let place = match result {
             CounterResult::Total(_) => 0,
             CounterResult::NotAdded => 1,
             CounterResult::Unanswered => 2,
             CounterResult::Overdue => 3,
         };
-        self.calls[place] += 1;
+        self.counter_calls[place] += 1;
     }
 
     /// A call that was overdue has its result.
-    pub fn late_call(&mut self, result: CounterResult) {
-        self.calls[4] += u32::from(matches!(result, CounterResult::Total(_)));
+    pub fn count_overdue_call(&mut self, result: CounterResult) {
+        self.counter_calls[4] += u32::from(matches!(result, CounterResult::Total(_)));
     }
 
     /// One line that tells why requests were refused of late and how attempts and calls ended; `None` between the
     /// reports, and where there is nothing to tell.
-    pub fn sweep(&mut self, vitals: &Diagnostics, open: usize) -> Option<String> {
+    pub fn report_line(&mut self, vitals: &Diagnostics, open: usize) -> Option<String> {
         self.sweeps += 1;
-        if self.sweeps < SWEEPS {
+        if self.sweeps < SWEEPS_PER_REPORT {
             return None;
         }
-        let Tally { attempts, calls, before, .. } =
-            std::mem::replace(self, Tally { before: vitals.refusals, ..Tally::default() });
+        let ReportCounts { attempts, counter_calls: calls, reported_refusals: before, .. } =
+            std::mem::replace(
+                self,
+                ReportCounts { reported_refusals: vitals.refusals, ..ReportCounts::default() },
+            );
         if attempts == [0; 8] && calls == [0; 5] && before == vitals.refusals {
             return None;
         }
--- a/node/src/guard.rs
+++ b/node/src/guard.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// The time told to a backend may be so much more than is left: it is rounded up to a millisecond.
-const TOLD_SLACK: Duration = Duration::from_millis(2);
+const ANNOUNCED_TIME_SLACK: Duration = Duration::from_millis(2);
 
 /// A step that breaks a rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
         if self.time_left.is_zero() {
             return Err(Violation::SendAfterDeadline);
         }
-        if self.announced_time > self.time_left + TOLD_SLACK {
+        if self.announced_time > self.time_left + ANNOUNCED_TIME_SLACK {
             return Err(Violation::SendWithTooMuchTime);
         }
         Ok(())
--- a/node/src/reasons.rs
+++ b/node/src/reasons.rs
@@ -8,7 +8,7 @@
 
 /// Why this side refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RefusalCause {
     /// The decisions say so.
     Decided(RefusalReason),
     /// As many requests are open as may be.
@@ -17,12 +17,12 @@
     BodiesFull,
 }
 
-impl Refused {
+impl RefusalCause {
     fn name(self) -> &'static str {
         match self {
-            Refused::Decided(why) => why.name(),
-            Refused::TooManyOpen => "too_many_open",
-            Refused::BodiesFull => "bodies_full",
+            RefusalCause::Decided(why) => why.name(),
+            RefusalCause::TooManyOpen => "too_many_open",
+            RefusalCause::BodiesFull => "bodies_full",
         }
     }
 }
@@ -114,13 +114,13 @@
 
 impl ReasonCounts {
     /// A request was refused.
-    pub fn refused(&self, request: &str, why: Refused) {
+    pub fn record_refusal(&self, request: &str, why: RefusalCause) {
         self.refused.count(why.name());
         log::debug!("request {request:?} refused: {}", why.name());
     }
 
     /// An attempt of a request is begun; the first one is none of those that repeat it.
-    pub fn sent(&self, request: &str, attempt: u8, backend: &dyn std::fmt::Debug, why: SendReason) {
+    pub fn record_attempt(&self, request: &str, attempt: u8, backend: &dyn std::fmt::Debug, why: SendReason) {
         if why != SendReason::First {
             self.repeated.count(send_reason_name(why));
         }
@@ -128,7 +128,7 @@
     }
 
     /// A client's connection has ended, after so many requests.
-    pub fn closed(&self, connection: u64, requests: u64, last: Option<&str>, why: CloseReason) {
+    pub fn record_close(&self, connection: u64, requests: u64, last: Option<&str>, why: CloseReason) {
         self.closed.count(why.name());
         log::debug!("connection {connection} closed: {}; {requests} requests, the last {last:?}", why.name());
     }
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -11,7 +11,7 @@
 use crate::logging::LimitedLog;
 use crate::meter::{Metered, HEAD_BYTES};
 use crate::reasons::CloseReason;
-use connection::{ClientConnection, CutReason, EvictionRank, Phase, ABOUT_TO_ASK};
+use connection::{AbortReason, ClientConnection, EvictionRank, Phase, NEXT_REQUEST_GRACE};
 use http_body_util::Either;
 use hyper::header::{HeaderValue, CONNECTION};
 use hyper::server::conn::http1;
@@ -32,7 +32,7 @@
 use tokio::time::{sleep, timeout, Instant};
 
 /// A client that has taken nothing of its answer for so long is let go.
-const CLIENT_STOPPED: Duration = Duration::from_secs(15);
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// A connection on which nothing is asked for longer is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Connections are looked over this often, and while a request waits: the end of its client's connection is told
@@ -41,26 +41,26 @@
 const WATCH_INTERVAL_WAITING: Duration = Duration::from_millis(40);
 /// In a drain, connections are closed by an answer at first, and those that are idle after so long at once:
 /// by 2 s, so that no request taken later is in work at 4 s. One that has just come may be about to ask.
-const DRAIN_BY_ANSWER: Duration = Duration::from_millis(1_000);
+const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
 /// How often, and how long each time, a new connection waits for another to make way: for longer in all than a head
 /// may take before it makes way.
-const ROOM_LOOKS: u32 = 40;
+const MAX_ROOM_WAITS: u32 = 40;
 const ROOM_WAIT: Duration = Duration::from_millis(10);
 
 /// All client connections.
 pub struct Server {
     driver: Driver,
-    figures: Rc<Metrics>,
-    most: Cell<usize>,
+    metrics: Rc<Metrics>,
+    max_connections: Cell<usize>,
     /// It accepts; and another process of this gateway does when this one no longer does.
-    open: Cell<bool>,
-    succeeded: Cell<bool>,
-    bodies: Budget,
+    accepting: Cell<bool>,
+    successor_serving: Cell<bool>,
+    body_budget: Budget,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next: Cell<u64>,
-    left: Notify,
+    next_id: Cell<u64>,
+    connection_closed: Notify,
     /// A request has begun to wait.
-    waits: Notify,
+    request_waiting: Notify,
 }
 
 /// A connection's place among them, given up when its task ends in whatever way.
@@ -71,14 +71,14 @@
         let client = self.0.connections.borrow_mut().remove(&self.1);
         if let Some(client) = client {
             let (requests, last) = client.requests();
-            self.0.figures.reasons.closed(self.1, requests, last.as_deref(), client.close_reason());
+            self.0.metrics.reasons.record_close(self.1, requests, last.as_deref(), client.close_reason());
         }
-        self.0.left.notify_one();
+        self.0.connection_closed.notify_one();
     }
 }
 
 /// A connection that was accepted apart from the runtime.
-fn take(socket: Socket) -> io::Result<TcpStream> {
+fn into_stream(socket: Socket) -> io::Result<TcpStream> {
     socket.set_nonblocking(true)?;
     TcpStream::from_std(socket.into())
 }
@@ -88,7 +88,18 @@
         let (connections, next) = (RefCell::default(), Cell::new(0));
         let (left, waits) = (Notify::new(), Notify::new());
         let (most, open, succeeded) = (Cell::new(most), Cell::new(false), Cell::new(false));
-        Rc::new(Server { driver, figures, most, open, succeeded, bodies, connections, next, left, waits })
+        Rc::new(Server {
+            driver,
+            metrics: figures,
+            max_connections: most,
+            accepting: open,
+            successor_serving: succeeded,
+            body_budget: bodies,
+            connections,
+            next_id: next,
+            connection_closed: left,
+            request_waiting: waits,
+        })
     }
 
     pub fn has_no_connections(&self) -> bool {
@@ -97,12 +108,12 @@
 
     /// From now on holds so many connections at most, as far as others can make way.
     pub fn set_max_connections(&self, most: usize) {
-        self.most.set(most);
+        self.max_connections.set(most);
     }
 
     /// Whether an answer is on its way.
     pub fn is_answering(&self) -> bool {
-        self.connections.borrow().values().any(|c| c.answering())
+        self.connections.borrow().values().any(|c| c.is_answering())
     }
 
     /// Ends the answers that are not known to be long and of which nothing has come for so long: they never may end.
@@ -110,7 +121,7 @@
     pub fn abort_stalled_answers(&self, for_long: Duration) {
         let connections = self.connections.borrow();
         let unproven = connections.values().filter(|c| !c.answer_is_long());
-        unproven.filter(|c| c.answer_stopped(for_long)).for_each(|c| c.cut(CutReason::ProcessEnded));
+        unproven.filter(|c| c.answer_stalled(for_long)).for_each(|c| c.abort(AbortReason::ProcessEnded));
     }
 
     /// Connections held.
@@ -120,16 +131,16 @@
 
     /// Another process of this gateway serves from now on.
     pub fn set_successor_serving(&self) {
-        self.succeeded.set(true);
+        self.successor_serving.set(true);
     }
 
     /// Closes what has been between requests for so long; what has begun gets its answer, and goes then.
     pub fn close_idle(&self, for_long: Duration, why: CloseReason) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|c| matches!(c.phase(), Phase::New | Phase::Idle));
-        let idle = idle.filter(|c| c.age() >= for_long.max(ABOUT_TO_ASK));
-        let idle = idle.filter(|c| !c.answering() && c.nothing_begun());
-        idle.for_each(|c| c.dismiss(why));
+        let idle = idle.filter(|c| c.phase_age() >= for_long.max(NEXT_REQUEST_GRACE));
+        let idle = idle.filter(|c| !c.is_answering() && c.nothing_received());
+        idle.for_each(|c| c.close_gracefully(why));
     }
 
     /// Closes each connection that an answer is on its way on, once that is written.
@@ -137,8 +148,8 @@
         let connections = self.connections.borrow();
         connections
             .values()
-            .filter(|c| c.phase() == Phase::Reply)
-            .for_each(|c| c.dismiss(CloseReason::Ending));
+            .filter(|c| c.phase() == Phase::Responding)
+            .for_each(|c| c.close_gracefully(CloseReason::Ending));
     }
 
     /// Accepts until it is told that it was the last. Danger: a connection that has come is owed an answer, also
@@ -146,15 +157,15 @@
     /// another process goes on with it.
     pub async fn accept(self: Rc<Self>, listener: &TcpListener, mut last: watch::Receiver<bool>) {
         let troubles = LimitedLog::new(1);
-        self.open.set(true);
+        self.accepting.set(true);
         loop {
             let stops = *last.borrow();
-            let come = if stops && self.succeeded.get() {
+            let come = if stops && self.successor_serving.get() {
                 return;
             } else if stops {
                 // The runtime may not have been told yet of one that the kernel holds: the kernel is asked.
                 match SockRef::from(listener).accept() {
-                    Ok((socket, _)) => take(socket),
+                    Ok((socket, _)) => into_stream(socket),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
                     Err(e) => Err(e),
                 }
@@ -165,8 +176,8 @@
                 }
             };
             let trouble = match come {
-                Ok(stream) if self.room().await => {
-                    self.welcome(stream);
+                Ok(stream) if self.wait_for_room().await => {
+                    self.spawn_connection(stream);
                     continue;
                 }
                 Ok(_) => "no connection can make way".to_owned(),
@@ -181,38 +192,38 @@
     }
 
     /// Waits for a place, which another may have to leave: the bound holds at every moment.
-    async fn room(&self) -> bool {
-        for _ in 0..ROOM_LOOKS {
-            if self.connections.borrow().len() < self.most.get() {
+    async fn wait_for_room(&self) -> bool {
+        for _ in 0..MAX_ROOM_WAITS {
+            if self.connections.borrow().len() < self.max_connections.get() {
                 return true;
             }
-            self.make_way();
-            let _ = timeout(ROOM_WAIT, self.left.notified()).await;
+            self.evict_one();
+            let _ = timeout(ROOM_WAIT, self.connection_closed.notified()).await;
         }
-        self.connections.borrow().len() < self.most.get()
+        self.connections.borrow().len() < self.max_connections.get()
     }
 
     /// The one that is missed least leaves: the silent before the idle, these before the slow. Danger: one that was
     /// told before may still be held up by an answer that its client does not take; it must not hold up the rest. And
     /// one that has just come may be about to ask; where these are many, they are soon silent, and nobody else leaves.
-    fn make_way(&self) {
+    fn evict_one(&self) {
         let (connections, now) = (self.connections.borrow(), Instant::now());
-        let stay = connections.values().filter(|c| !c.leaving.get());
+        let stay = connections.values().filter(|c| !c.evicted.get());
         let mut line: Vec<_> = stay.filter_map(|c| Some((c.eviction_rank(now)?, c.since(), c))).collect();
         line.sort_by_key(|(rank, since, _)| (*rank, *since));
         let others = line.len();
         let begun = |rank| matches!(rank, EvictionRank::SlowHead | EvictionRank::SlowBody);
-        let leaves = line.into_iter().find(|(rank, _, c)| begun(*rank) || c.nothing_begun());
-        let fresh = connections.values().filter(|c| c.fresh(now)).count();
+        let leaves = line.into_iter().find(|(rank, _, c)| begun(*rank) || c.nothing_received());
+        let fresh = connections.values().filter(|c| c.is_fresh(now)).count();
         let Some((rank, _, client)) =
             leaves.filter(|(rank, ..)| *rank == EvictionRank::Silent || fresh < others)
         else {
             return;
         };
-        client.leaving.set(true);
+        client.evicted.set(true);
         match rank {
-            EvictionRank::Idle => client.dismiss(CloseReason::MadeWay),
-            _ => client.cut(CutReason::MadeWay),
+            EvictionRank::Idle => client.close_gracefully(CloseReason::MadeWay),
+            _ => client.abort(AbortReason::MadeWay),
         }
     }
 
@@ -220,36 +231,38 @@
     pub async fn watch_connections(self: Rc<Self>) {
         let mut drained: Option<Instant> = None;
         loop {
-            let waiting = || self.connections.borrow().values().any(|c| c.waiting());
-            if waiting() || timeout(WATCH_INTERVAL, self.waits.notified()).await.is_ok() {
+            let waiting = || self.connections.borrow().values().any(|c| c.awaits_answer());
+            if waiting() || timeout(WATCH_INTERVAL, self.request_waiting.notified()).await.is_ok() {
                 sleep(WATCH_INTERVAL_WAITING).await;
             }
             drained = self.driver.draining().then(|| drained.unwrap_or_else(Instant::now));
-            if drained.is_some_and(|at| at.elapsed() >= DRAIN_BY_ANSWER) {
-                self.close_idle(ABOUT_TO_ASK, CloseReason::Draining);
+            if drained.is_some_and(|at| at.elapsed() >= DRAIN_GRACE) {
+                self.close_idle(NEXT_REQUEST_GRACE, CloseReason::Draining);
             }
-            for _ in self.most.get()..self.connections.borrow().len() {
-                self.make_way();
+            for _ in self.max_connections.get()..self.connections.borrow().len() {
+                self.evict_one();
             }
             for client in self.connections.borrow().values() {
-                let age = client.age();
+                let age = client.phase_age();
                 match client.phase() {
-                    Phase::New | Phase::Coming | Phase::Body if client.overdue() => {
-                        client.cut(CutReason::RequestTooSlow)
+                    Phase::New | Phase::ReceivingHead | Phase::ReceivingBody if client.request_overdue() => {
+                        client.abort(AbortReason::RequestTooSlow)
+                    }
+                    Phase::ReceivingBody | Phase::Processing if client.meter.peer_closed() => {
+                        client.abort(AbortReason::ClientClosed)
                     }
-                    Phase::Body | Phase::Work if client.meter.peer_closed() => {
-                        client.cut(CutReason::ClientClosed)
+                    Phase::Responding if client.upload_abandoned() => {
+                        client.abort(AbortReason::RequestTooSlow)
                     }
-                    Phase::Reply if client.upload_abandoned() => client.cut(CutReason::RequestTooSlow),
-                    _ if client.answering() && client.client_stopped(CLIENT_STOPPED) => {
-                        client.cut(CutReason::ClientStopped)
+                    _ if client.is_answering() && client.client_stalled(CLIENT_STALL_TIMEOUT) => {
+                        client.abort(AbortReason::ClientStopped)
                     }
-                    Phase::Idle if !client.untouched() => client.enter(Phase::Coming),
+                    Phase::Idle if !client.nothing_read() => client.enter_phase(Phase::ReceivingHead),
                     // The end of an answer that its client takes slowly is still on its way.
-                    Phase::Idle if client.answering() => {}
-                    Phase::Idle if age >= 2 * IDLE_TIMEOUT => client.cut(CutReason::ClientStopped),
+                    Phase::Idle if client.is_answering() => {}
+                    Phase::Idle if age >= 2 * IDLE_TIMEOUT => client.abort(AbortReason::ClientStopped),
                     Phase::Idle if age >= IDLE_TIMEOUT && client.meter.quiet() => {
-                        client.dismiss(CloseReason::Idle)
+                        client.close_gracefully(CloseReason::Idle)
                     }
                     _ => {}
                 }
@@ -257,29 +270,29 @@
         }
     }
 
-    fn welcome(self: &Rc<Self>, stream: TcpStream) {
+    fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         if stream.set_nodelay(true).is_err() {
             return;
         }
-        let id = self.next.replace(self.next.get() + 1);
+        let id = self.next_id.replace(self.next_id.get() + 1);
         let client = ClientConnection::new(stream, self.driver.guard().clone());
         self.connections.borrow_mut().insert(id, client.clone());
         let (server, here, registration) = (self.clone(), client.clone(), Registration(self.clone(), id));
         let task = tokio::task::spawn_local(async move {
             let _registration = registration;
-            server.serve(&here).await;
+            server.serve_connection(&here).await;
         });
-        client.served_by(task.abort_handle());
+        client.set_serving_task(task.abort_handle());
     }
 
-    async fn serve(self: &Rc<Self>, client: &Rc<ClientConnection>) {
+    async fn serve_connection(self: &Rc<Self>, client: &Rc<ClientConnection>) {
         let service = service_fn(|request| {
             let (server, client) = (self.clone(), client.clone());
             async move {
                 let mut answer = server.answer(request, &client).await;
                 let flows = matches!(answer.body(), Either::Right(_));
                 client.begin_answer();
-                client.enter(if flows { Phase::Reply } else { Phase::Idle });
+                client.enter_phase(if flows { Phase::Responding } else { Phase::Idle });
                 if server.driver.shutting_down() || server.driver.draining() || client.meter.skipped() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -291,7 +304,7 @@
         // Times are kept by `watch`, over all connections at once.
         http.header_read_timeout(None).max_buf_size(HEAD_BYTES);
         let mut conn = pin!(http.serve_connection(TokioIo::new(Metered(client.meter.clone())), service));
-        let mut departure = pin!(self.departure(client));
+        let mut departure = pin!(self.wait_for_client_close(client));
         let mut told = false;
         loop {
             tokio::select! {
@@ -300,7 +313,7 @@
                 // An error here is the client's: it broke off or sent no HTTP.
                 _ = conn.as_mut() => return,
                 () = departure.as_mut() => return,
-                () = client.close.notified(), if !told => {
+                () = client.close_requested.notified(), if !told => {
                     told = true;
                     conn.as_mut().graceful_shutdown();
                 }
@@ -310,21 +323,23 @@
 
     /// Waits until the client closes its connection while its request waits. Danger: the library reads no
     /// further than that request; of whose client has left is then sent on for nobody.
-    async fn departure(&self, client: &ClientConnection) {
+    async fn wait_for_client_close(&self, client: &ClientConnection) {
         let mut closed = pin!(client.meter.closed());
         poll_fn(|cx| match client.phase() {
-            _ if !client.waiting() => Poll::Pending,
+            _ if !client.awaits_answer() => Poll::Pending,
             _ if closed.as_mut().poll(cx).is_ready() => Poll::Ready(()),
-            phase => client.meter.poll_ahead(cx, &self.bodies, phase == Phase::Work),
+            phase => client.meter.poll_ahead(cx, &self.body_budget, phase == Phase::Processing),
         })
         .await
     }
 
     /// Whether this process serves and goes on to.
     pub fn is_ready(&self) -> bool {
-        let ready =
-            self.open.get() && self.driver.ready() && !self.driver.shutting_down() && !self.driver.draining();
-        let too_soon = ready && (!self.open.get() || self.driver.shutting_down());
+        let ready = self.accepting.get()
+            && self.driver.has_backend_list()
+            && !self.driver.shutting_down()
+            && !self.driver.draining();
+        let too_soon = ready && (!self.accepting.get() || self.driver.shutting_down());
         if too_soon {
             self.driver.guard().record(Violation::ReadyTooSoon, "asked by an operator");
         }
@@ -333,7 +348,7 @@
 
     /// Looks for requests that the end of the process leaves without an answer.
     pub fn check_unanswered_requests(&self) {
-        for client in self.connections.borrow().values().filter(|c| c.phase() == Phase::Work) {
+        for client in self.connections.borrow().values().filter(|c| c.phase() == Phase::Processing) {
             let (_, last) = client.requests();
             self.driver.guard().record(Violation::CloseOverRequest, &format!("request {last:?}, at the end"));
         }
@@ -341,7 +356,7 @@
 
     /// Whether clients are wanted at this address: another process may serve there when this one ends.
     fn serving(&self) -> bool {
-        let goes_on = !self.driver.shutting_down() || self.succeeded.get();
-        self.driver.ready() && goes_on && !self.driver.draining()
+        let goes_on = !self.driver.shutting_down() || self.successor_serving.get();
+        self.driver.has_backend_list() && goes_on && !self.driver.draining()
     }
 }
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -21,11 +21,11 @@
 /// The slowest that a body may come, in bytes a second.
 const MIN_UPLOAD_RATE: f64 = 40_000.0;
 /// A request that takes longer than this to come gives way where connections run short.
-const SLOW_REQUEST: Duration = Duration::from_millis(300);
+const SLOW_REQUEST_AGE: Duration = Duration::from_millis(300);
 /// An answer that was given less than this ago may still be on its way.
-const ANSWER_SETTLES: Duration = Duration::from_millis(20);
+const ANSWER_SETTLE_TIME: Duration = Duration::from_millis(20);
 /// One that has just come may be about to ask.
-pub const ABOUT_TO_ASK: Duration = Duration::from_millis(50);
+pub const NEXT_REQUEST_GRACE: Duration = Duration::from_millis(50);
 
 /// What a client's connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,13 +33,13 @@
     /// No whole request has come yet.
     New,
     /// A later request has begun to come.
-    Coming,
+    ReceivingHead,
     /// A request was let in whose body is still coming.
-    Body,
+    ReceivingBody,
     /// A request is in work.
-    Work,
+    Processing,
     /// An answer is on its way.
-    Reply,
+    Responding,
     /// Between requests.
     Idle,
 }
@@ -59,7 +59,7 @@
 
 /// Why this side ended a connection at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutReason {
+pub enum AbortReason {
     /// Its request comes too slowly.
     RequestTooSlow,
     /// Its client was seen to have closed it.
@@ -72,24 +72,24 @@
     ProcessEnded,
 }
 
-impl CutReason {
+impl AbortReason {
     /// What this means for an answer that was on its way.
-    pub fn of_answer(self) -> AnswerInterruption {
+    pub fn answer_interruption(self) -> AnswerInterruption {
         match self {
-            CutReason::ClientStopped => AnswerInterruption::ClientStopped,
-            CutReason::ProcessEnded => AnswerInterruption::ProcessEnded,
-            CutReason::RequestTooSlow | CutReason::ClientClosed | CutReason::MadeWay => {
+            AbortReason::ClientStopped => AnswerInterruption::ClientStopped,
+            AbortReason::ProcessEnded => AnswerInterruption::ProcessEnded,
+            AbortReason::RequestTooSlow | AbortReason::ClientClosed | AbortReason::MadeWay => {
                 AnswerInterruption::ClientClosed
             }
         }
     }
 
     /// What this means for a body that was still coming.
-    pub fn of_upload(self) -> UploadInterruption {
+    pub fn upload_interruption(self) -> UploadInterruption {
         match self {
-            CutReason::RequestTooSlow => UploadInterruption::TooSlow,
-            CutReason::MadeWay => UploadInterruption::MadeWay,
-            CutReason::ClientClosed | CutReason::ClientStopped | CutReason::ProcessEnded => {
+            AbortReason::RequestTooSlow => UploadInterruption::TooSlow,
+            AbortReason::MadeWay => UploadInterruption::MadeWay,
+            AbortReason::ClientClosed | AbortReason::ClientStopped | AbortReason::ProcessEnded => {
                 UploadInterruption::ClientBroke
             }
         }
@@ -102,29 +102,29 @@
     pub meter: Rc<Meter>,
     phase: Cell<Phase>,
     /// When the phase began, and what had been read by then.
-    since: Cell<Instant>,
-    read_before: Cell<u64>,
+    phase_began: Cell<Instant>,
+    read_before_phase: Cell<u64>,
     /// What had been written when that last changed, and when.
     write_progress: Cell<(u64, Instant)>,
     /// What has come of the answer that it passes on.
-    pub progress: Cell<Option<Progress>>,
+    pub answer_progress: Cell<Option<Progress>>,
     /// How long its body was held up by this side.
     pub backpressure: Rc<Backpressure>,
     /// Its request's body is still coming, though the answer is known.
-    pub uploading: Cell<bool>,
+    pub draining_upload: Cell<bool>,
     /// Told to end between requests.
-    pub close: Notify,
+    pub close_requested: Notify,
     /// It has been told to make way.
-    pub leaving: Cell<bool>,
-    cut_reason: Cell<Option<CutReason>>,
-    dismissed: Cell<Option<CloseReason>>,
+    pub evicted: Cell<bool>,
+    abort_reason: Cell<Option<AbortReason>>,
+    graceful_close_reason: Cell<Option<CloseReason>>,
     /// The connection ends with the answer that is on its way.
     pub last_answer: Cell<bool>,
     /// Requests that have come, and the client's name for the last of them.
-    requests: Cell<u64>,
-    last_request: RefCell<Option<Rc<str>>>,
+    request_count: Cell<u64>,
+    last_correlation_id: RefCell<Option<Rc<str>>>,
     guard: Rc<Guard>,
-    task: OnceCell<AbortHandle>,
+    serving_task: OnceCell<AbortHandle>,
 }
 
 impl ClientConnection {
@@ -133,29 +133,29 @@
         let connection = ClientConnection {
             meter: Meter::new(stream),
             phase: Cell::new(Phase::New),
-            since: Cell::new(Instant::now()),
-            read_before: Cell::new(0),
+            phase_began: Cell::new(Instant::now()),
+            read_before_phase: Cell::new(0),
             write_progress: Cell::new((0, Instant::now())),
             backpressure: Rc::default(),
-            uploading: Cell::new(false),
-            progress: Cell::new(None),
-            close: Notify::new(),
-            leaving: Cell::new(false),
-            cut_reason: Cell::new(None),
-            dismissed: Cell::new(None),
+            draining_upload: Cell::new(false),
+            answer_progress: Cell::new(None),
+            close_requested: Notify::new(),
+            evicted: Cell::new(false),
+            abort_reason: Cell::new(None),
+            graceful_close_reason: Cell::new(None),
             last_answer: Cell::new(false),
-            requests: Cell::new(0),
-            last_request: RefCell::new(None),
+            request_count: Cell::new(0),
+            last_correlation_id: RefCell::new(None),
             guard,
-            task: OnceCell::new(),
+            serving_task: OnceCell::new(),
         };
         connection.meter.listen();
         Rc::new(connection)
     }
 
     /// Names the task that serves it.
-    pub fn served_by(&self, task: AbortHandle) {
-        let _ = self.task.set(task);
+    pub fn set_serving_task(&self, task: AbortHandle) {
+        let _ = self.serving_task.set(task);
     }
 
     /// What it is doing.
@@ -164,22 +164,22 @@
     }
 
     /// How long it has been doing that.
-    pub fn age(&self) -> Duration {
-        self.since.get().elapsed()
+    pub fn phase_age(&self) -> Duration {
+        self.phase_began.get().elapsed()
     }
 
     /// When the phase began.
     pub fn since(&self) -> Instant {
-        self.since.get()
+        self.phase_began.get()
     }
 
     /// Begins a phase.
-    pub fn enter(&self, phase: Phase) {
+    pub fn enter_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        self.since.set(Instant::now());
-        self.read_before.set(self.meter.read());
+        self.phase_began.set(Instant::now());
+        self.read_before_phase.set(self.meter.read());
         // What holds up a body goes on to while its request is in work, or is answered early.
-        if !matches!(phase, Phase::Work | Phase::Reply) {
+        if !matches!(phase, Phase::Processing | Phase::Responding) {
             self.backpressure.reset();
         }
         if phase == Phase::Idle {
@@ -188,20 +188,20 @@
     }
 
     /// Begins to take a body: what has been read counts from the head on, and so does its time.
-    pub fn enter_body(&self) {
-        self.phase.set(Phase::Body);
+    pub fn enter_body_phase(&self) {
+        self.phase.set(Phase::ReceivingBody);
     }
 
     /// Bytes read since the phase began.
     pub fn read_in_phase(&self) -> u64 {
-        self.meter.read().saturating_sub(self.read_before.get())
+        self.meter.read().saturating_sub(self.read_before_phase.get())
     }
 
     /// Whether its request should have come by now; what this side holds up is not its fault, nor what has come and
     /// has not been read. While the answer before is still on its way, nothing is due.
-    pub fn overdue(&self) -> bool {
+    pub fn request_overdue(&self) -> bool {
         let by_bytes = Duration::from_secs_f64(self.read_in_phase() as f64 / MIN_UPLOAD_RATE);
-        let late = self.age() >= REQUEST_TIMEOUT + by_bytes + self.backpressure.paused();
+        let late = self.phase_age() >= REQUEST_TIMEOUT + by_bytes + self.backpressure.paused();
         late && !self.meter.write_blocked() && self.meter.quiet()
     }
 
@@ -211,12 +211,12 @@
     }
 
     /// Whether an answer is on its way: one that is passed on, or one that its client has not taken yet.
-    pub fn answering(&self) -> bool {
-        self.phase() == Phase::Reply || self.meter.write_blocked()
+    pub fn is_answering(&self) -> bool {
+        self.phase() == Phase::Responding || self.meter.write_blocked()
     }
 
     /// Whether its client has taken nothing for so long of what is to be written.
-    pub fn client_stopped(&self, for_long: Duration) -> bool {
+    pub fn client_stalled(&self, for_long: Duration) -> bool {
         let (written, at) = self.write_progress.get();
         if self.meter.written() != written || !self.meter.write_blocked() {
             self.begin_answer();
@@ -226,101 +226,101 @@
     }
 
     /// Whether it passes on an answer of which nothing has come for so long.
-    pub fn answer_stopped(&self, for_long: Duration) -> bool {
-        let progress = self.progress.get().filter(|_| self.phase() == Phase::Reply);
+    pub fn answer_stalled(&self, for_long: Duration) -> bool {
+        let progress = self.answer_progress.get().filter(|_| self.phase() == Phase::Responding);
         progress.is_some_and(|progress| progress.last_received.elapsed() >= for_long)
     }
 
     /// Whether the answer that it passes on is known to be long.
     pub fn answer_is_long(&self) -> bool {
-        self.progress.get().is_some_and(|progress| progress.extent == Extent::Long)
+        self.answer_progress.get().is_some_and(|progress| progress.extent == Extent::Long)
     }
 
     /// Whether its client has stopped sending a body that was answered early, and nothing comes of that answer
     /// either. One who stops for the answer, and reads that, is let be.
     pub fn upload_abandoned(&self) -> bool {
-        self.uploading.get() && self.overdue() && self.answer_stopped(STALL_TIMEOUT)
+        self.draining_upload.get() && self.request_overdue() && self.answer_stalled(STALL_TIMEOUT)
     }
 
     /// Its request waits for an answer, or for more of itself.
-    pub fn waiting(&self) -> bool {
-        matches!(self.phase(), Phase::Body | Phase::Work)
+    pub fn awaits_answer(&self) -> bool {
+        matches!(self.phase(), Phase::ReceivingBody | Phase::Processing)
     }
 
     /// Nothing has been read since the phase began.
-    pub fn untouched(&self) -> bool {
-        self.meter.read() == self.read_before.get()
+    pub fn nothing_read(&self) -> bool {
+        self.meter.read() == self.read_before_phase.get()
     }
 
     /// Nothing has come, read or not: closing it cuts nothing that has begun.
-    pub fn nothing_begun(&self) -> bool {
-        self.untouched() && self.meter.quiet()
+    pub fn nothing_received(&self) -> bool {
+        self.nothing_read() && self.meter.quiet()
     }
 
     /// It has just come, has said nothing, and may be about to ask.
-    pub fn fresh(&self, now: Instant) -> bool {
-        self.phase() == Phase::New && self.untouched() && now - self.since.get() < ABOUT_TO_ASK
+    pub fn is_fresh(&self, now: Instant) -> bool {
+        self.phase() == Phase::New && self.nothing_read() && now - self.phase_began.get() < NEXT_REQUEST_GRACE
     }
 
     /// Where it stands in the line of those that make way; `None` for those that do not.
     pub fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
-        let age = now - self.since.get();
+        let age = now - self.phase_began.get();
         match self.phase() {
-            Phase::New if self.untouched() => (age >= ABOUT_TO_ASK).then_some(EvictionRank::Silent),
-            Phase::Idle | Phase::Coming if self.meter.write_blocked() => None,
-            Phase::Idle if self.untouched() && age >= ANSWER_SETTLES => Some(EvictionRank::Idle),
-            Phase::New | Phase::Coming if age >= SLOW_REQUEST => Some(EvictionRank::SlowHead),
-            Phase::Body if age >= SLOW_REQUEST => Some(EvictionRank::SlowBody),
+            Phase::New if self.nothing_read() => (age >= NEXT_REQUEST_GRACE).then_some(EvictionRank::Silent),
+            Phase::Idle | Phase::ReceivingHead if self.meter.write_blocked() => None,
+            Phase::Idle if self.nothing_read() && age >= ANSWER_SETTLE_TIME => Some(EvictionRank::Idle),
+            Phase::New | Phase::ReceivingHead if age >= SLOW_REQUEST_AGE => Some(EvictionRank::SlowHead),
+            Phase::ReceivingBody if age >= SLOW_REQUEST_AGE => Some(EvictionRank::SlowBody),
             _ => None,
         }
     }
 
     /// Ends what is between requests, once its last answer is written.
-    pub fn dismiss(&self, why: CloseReason) {
-        self.dismissed.set(Some(why));
-        self.close.notify_one();
+    pub fn close_gracefully(&self, why: CloseReason) {
+        self.graceful_close_reason.set(Some(why));
+        self.close_requested.notify_one();
     }
 
     /// Takes in that a request has come.
-    pub fn take_request(&self, name: &Rc<str>) {
-        self.requests.set(self.requests.get() + 1);
-        *self.last_request.borrow_mut() = Some(name.clone());
+    pub fn record_request(&self, name: &Rc<str>) {
+        self.request_count.set(self.request_count.get() + 1);
+        *self.last_correlation_id.borrow_mut() = Some(name.clone());
     }
 
     /// Requests that have come, and the client's name for the last of them.
     pub fn requests(&self) -> (u64, Option<Rc<str>>) {
-        (self.requests.get(), self.last_request.borrow().clone())
+        (self.request_count.get(), self.last_correlation_id.borrow().clone())
     }
 
     /// Why it ended.
     pub fn close_reason(&self) -> CloseReason {
-        match self.cut_reason.get() {
-            Some(CutReason::RequestTooSlow) => CloseReason::RequestTooSlow,
-            Some(CutReason::ClientClosed) => CloseReason::ClientLeft,
-            Some(CutReason::ClientStopped) => CloseReason::ClientStopped,
-            Some(CutReason::MadeWay) => CloseReason::MadeWay,
-            Some(CutReason::ProcessEnded) => CloseReason::Ending,
-            None if self.waiting() => CloseReason::ClientLeft,
+        match self.abort_reason.get() {
+            Some(AbortReason::RequestTooSlow) => CloseReason::RequestTooSlow,
+            Some(AbortReason::ClientClosed) => CloseReason::ClientLeft,
+            Some(AbortReason::ClientStopped) => CloseReason::ClientStopped,
+            Some(AbortReason::MadeWay) => CloseReason::MadeWay,
+            Some(AbortReason::ProcessEnded) => CloseReason::Ending,
+            None if self.awaits_answer() => CloseReason::ClientLeft,
             None if self.last_answer.get() => CloseReason::LastAnswer,
-            None => self.dismissed.get().unwrap_or(CloseReason::Client),
+            None => self.graceful_close_reason.get().unwrap_or(CloseReason::Client),
         }
     }
 
     /// Ends it at once.
-    pub fn cut(&self, why: CutReason) {
-        let client_gone = matches!(why, CutReason::ClientClosed | CutReason::ClientStopped);
-        if self.phase() == Phase::Work && !client_gone {
-            let what = format!("request {:?}, {why:?}", self.last_request.borrow());
+    pub fn abort(&self, why: AbortReason) {
+        let client_gone = matches!(why, AbortReason::ClientClosed | AbortReason::ClientStopped);
+        if self.phase() == Phase::Processing && !client_gone {
+            let what = format!("request {:?}, {why:?}", self.last_correlation_id.borrow());
             return self.guard.record(Violation::CloseOverRequest, &what);
         }
-        self.cut_reason.set(Some(why));
-        if let Some(task) = self.task.get() {
+        self.abort_reason.set(Some(why));
+        if let Some(task) = self.serving_task.get() {
             task.abort();
         }
     }
 
     /// Why it ended: where this side did not, its client did.
-    pub fn cut_reason(&self) -> CutReason {
-        self.cut_reason.get().unwrap_or(CutReason::ClientClosed)
+    pub fn cut_reason(&self) -> AbortReason {
+        self.abort_reason.get().unwrap_or(AbortReason::ClientClosed)
     }
 }
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -1,18 +1,18 @@
 //! One request: checked, handed to the driver, and answered.
 
 use super::connection::{ClientConnection, Phase};
-use super::transfer::{RequestLabel, StreamedAnswer, UploadWatch};
+use super::transfer::{RequestLabel, StreamedAnswer, UploadMonitor};
 use super::Server;
-use crate::admission::{admit, Fault, Terms};
+use crate::admission::{admit, Rejection, RequestMetadata};
 use crate::backend::message::strip_hop_by_hop;
 use crate::backend::{Message, Payload};
 use crate::body::gather::{gather, Gathered};
 use crate::body::interruption::UploadInterruption;
 use crate::body::upload::UploadSource;
 use crate::body::MAX_BUFFERED_BYTES;
-use crate::driver::{Reply, Ticket};
-use crate::figures::{Ending, Taken};
-use crate::reasons::Refused;
+use crate::driver::{PendingReply, Reply};
+use crate::figures::{RequestInProgress, RequestOutcome};
+use crate::reasons::RefusalCause;
 use bytes::Bytes;
 use caperwind::{ClassIndex, Micros};
 use http_body_util::{Either, Full};
@@ -28,25 +28,25 @@
 
 /// A request's body: whole, or as far as it has come.
 enum Received {
-    Whole { payload: Payload, taken: Taken },
-    Coming(Rc<UploadSource>),
+    Whole { payload: Payload, in_progress: RequestInProgress },
+    Partial(Rc<UploadSource>),
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Answer {
+fn text_answer(status: StatusCode, text: &'static str) -> Answer {
     let mut answer = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
     *answer.status_mut() = status;
     answer
 }
 
 /// An answer after which nothing more is read.
-fn last(status: StatusCode, text: &'static str) -> Answer {
-    let mut answer = plain(status, text);
+fn closing_answer(status: StatusCode, text: &'static str) -> Answer {
+    let mut answer = text_answer(status, text);
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
 
 /// What is passed on of a request: all but what concerns its connection alone.
-fn message(head: Parts, body: Payload, wait: Micros, client: &ClientConnection) -> Message {
+fn build_message(head: Parts, body: Payload, wait: Micros, client: &ClientConnection) -> Message {
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
     // A target in absolute form goes on as a path, as backends expect it.
@@ -65,68 +65,72 @@
     /// Answers one request of a client.
     pub(super) async fn answer(&self, request: Request<Incoming>, client: &Rc<ClientConnection>) -> Answer {
         if client.phase() == Phase::Idle {
-            client.enter(Phase::Coming);
+            client.enter_phase(Phase::ReceivingHead);
         }
         if request.uri().path() == "/healthz" {
-            return self.health(request.method());
+            return self.health_check(request.method());
         }
         let (head, body) = request.into_parts();
         let (terms, length) = match admit(&head, self.driver.config()) {
             Ok(admitted) => admitted,
             // Where it is wrong in one thing, its end may be elsewhere than it says, too.
-            Err((status, text)) => return last(status, text),
+            Err((status, text)) => return closing_answer(status, text),
         };
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
         // Danger: what one reader takes for a body may hold a request for another, who goes by the length.
         if chunked && client.meter.names("content-length") != Some(false) {
-            return last(StatusCode::BAD_REQUEST, "two lengths\n");
+            return closing_answer(StatusCode::BAD_REQUEST, "two lengths\n");
         }
-        client.take_request(&terms.id);
-        client.enter_body();
-        self.waits.notify_one();
-        let label = RequestLabel { class: terms.class, id: terms.id.clone() };
-        let mut upload = UploadWatch::new(client.clone(), self.figures.clone(), label.clone());
-        let received = match self.receive(&head, body, length, label.class, client, &mut upload).await {
+        client.record_request(&terms.correlation_id);
+        client.enter_body_phase();
+        self.request_waiting.notify_one();
+        let label = RequestLabel { class: terms.class, correlation_id: terms.correlation_id.clone() };
+        let mut upload = UploadMonitor::new(client.clone(), self.metrics.clone(), label.clone());
+        let received = match self.receive_body(&head, body, length, label.class, client, &mut upload).await {
             Ok(received) => received,
-            Err((status, text)) => return last(status, text),
+            Err((status, text)) => return closing_answer(status, text),
         };
         match received {
-            Received::Whole { payload, taken } => {
-                let terms = Terms { wait: left_of(terms.wait, client), ..terms };
-                let ticket = self.submit(message(head, payload, terms.wait, client), terms);
+            Received::Whole { payload, in_progress: taken } => {
+                let terms = RequestMetadata { time_limit: remaining_time(terms.time_limit, client), ..terms };
+                let ticket = self.submit(build_message(head, payload, terms.time_limit, client), terms);
                 match ticket {
-                    Ok(mut ticket) => self.reply(ticket.answer().await, label, taken, client).await,
-                    Err((status, text)) => last(status, text),
+                    Ok(mut ticket) => self.build_answer(ticket.wait().await, label, taken, client).await,
+                    Err((status, text)) => closing_answer(status, text),
                 }
             }
-            Received::Coming(source) => self.answer_coming(head, source, terms, label, upload, client).await,
+            Received::Partial(source) => {
+                self.answer_while_uploading(head, source, terms, label, upload, client).await
+            }
         }
     }
 
-    fn health(&self, method: &Method) -> Answer {
+    fn health_check(&self, method: &Method) -> Answer {
         match (method == Method::GET, self.serving()) {
-            (false, _) => last(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
-            (_, true) => plain(StatusCode::OK, "ready\n"),
-            (_, false) => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            (false, _) => closing_answer(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
+            (_, true) => text_answer(StatusCode::OK, "ready\n"),
+            (_, false) => text_answer(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
         }
     }
 
     /// Takes a body: a small one whole, else its beginning, with the rest to follow.
-    async fn receive(
+    async fn receive_body(
         &self,
         head: &Parts,
         body: Incoming,
         length: Option<u64>,
         class: ClassIndex,
         client: &Rc<ClientConnection>,
-        upload: &mut UploadWatch,
-    ) -> Result<Received, Fault> {
+        upload: &mut UploadMonitor,
+    ) -> Result<Received, Rejection> {
         let small = length.filter(|n| *n <= MAX_BUFFERED_BYTES as u64).and_then(|n| usize::try_from(n).ok());
-        let reservation = self.bodies.reserve(small.unwrap_or(MAX_BUFFERED_BYTES));
+        let reservation = self.body_budget.reserve(small.unwrap_or(MAX_BUFFERED_BYTES));
         if reservation.is_none() && small.is_some() {
-            self.figures.settle(class, Ending::Dropped);
+            self.metrics.record_request(class, RequestOutcome::Dropped);
             let name = client.requests().1;
-            self.figures.reasons.refused(name.as_deref().unwrap_or_default(), Refused::BodiesFull);
+            self.metrics
+                .reasons
+                .record_refusal(name.as_deref().unwrap_or_default(), RefusalCause::BodiesFull);
             match body.is_end_stream() {
                 true => upload.complete(),
                 false => upload.interrupt(UploadInterruption::AnsweredEarly),
@@ -143,9 +147,9 @@
                 if head.method == Method::GET && !body.is_empty() {
                     return Err((StatusCode::BAD_REQUEST, "GET takes no body\n"));
                 }
-                client.enter(Phase::Work);
+                client.enter_phase(Phase::Processing);
                 let payload = Payload::Whole { body, _reservation: reservation };
-                Ok(Received::Whole { payload, taken: self.figures.take() })
+                Ok(Received::Whole { payload, in_progress: self.metrics.start_request() })
             }
             (Gathered::Part(..), _) if head.method == Method::GET => {
                 upload.interrupt(UploadInterruption::AnsweredEarly);
@@ -153,7 +157,7 @@
             }
             (Gathered::Part(first, rest), reservation) => {
                 let backpressure = client.backpressure.clone();
-                Ok(Received::Coming(UploadSource::new(first, reservation, rest, length, backpressure)))
+                Ok(Received::Partial(UploadSource::new(first, reservation, rest, length, backpressure)))
             }
             _ => {
                 upload.interrupt(UploadInterruption::ClientBroke);
@@ -163,73 +167,81 @@
     }
 
     /// Hands a request to the driver: its time counts from here, if its last byte has come.
-    fn submit(&self, message: Message, terms: Terms) -> Result<Ticket, Fault> {
+    fn submit(&self, message: Message, terms: RequestMetadata) -> Result<PendingReply, Rejection> {
         let class = terms.class;
-        let submitted = self.driver.request(message, terms);
-        submitted.inspect_err(|(status, _)| self.figures.settle(class, Ending::of(*status)))
+        let submitted = self.driver.submit(message, terms);
+        submitted.inspect_err(|(status, _)| {
+            self.metrics.record_request(class, RequestOutcome::from_status(*status))
+        })
     }
 
     /// Answers a request whose body is still coming: its time counts from the body's end.
-    async fn answer_coming(
+    async fn answer_while_uploading(
         &self,
         head: Parts,
         source: Rc<UploadSource>,
-        terms: Terms,
+        terms: RequestMetadata,
         request: RequestLabel,
-        mut upload: UploadWatch,
+        mut upload: UploadMonitor,
         client: &Rc<ClientConnection>,
     ) -> Answer {
-        let wait = terms.wait;
-        let message = message(head, Payload::Coming(source.clone()), wait, client);
+        let wait = terms.time_limit;
+        let message = build_message(head, Payload::Coming(source.clone()), wait, client);
         let mut ticket = match self.submit(message, terms) {
             Ok(ticket) => ticket,
             Err((status, text)) => {
                 upload.interrupt(UploadInterruption::AnsweredEarly);
-                return last(status, text);
+                return closing_answer(status, text);
             }
         };
         let early = tokio::select! {
-            reply = ticket.answer() => Some(reply),
+            reply = ticket.wait() => Some(reply),
             ended = source.ended() => {
                 if let Err(why) = ended {
                     upload.interrupt(why);
-                    return last(StatusCode::BAD_REQUEST, "broken body\n");
+                    return closing_answer(StatusCode::BAD_REQUEST, "broken body\n");
                 }
                 None
             }
         };
         let Some(reply) = early else {
             upload.complete();
-            client.enter(Phase::Work);
-            let taken = self.figures.take();
-            self.driver.uploaded(&ticket, left_of(wait, client));
-            return self.reply(ticket.answer().await, request, taken, client).await;
+            client.enter_phase(Phase::Processing);
+            let taken = self.metrics.start_request();
+            self.driver.body_received(&ticket, remaining_time(wait, client));
+            return self.build_answer(ticket.wait().await, request, taken, client).await;
         };
         upload.interrupt(UploadInterruption::AnsweredEarly);
-        self.read_on(source, ticket, wait, client);
-        self.reply(reply, request, self.figures.take(), client).await
+        self.drain_upload(source, ticket, wait, client);
+        self.build_answer(reply, request, self.metrics.start_request(), client).await
     }
 
     /// Reads the rest of a body whose request has its answer: an answer that is passed on has its time from the end.
-    fn read_on(&self, source: Rc<UploadSource>, ticket: Ticket, wait: Micros, client: &Rc<ClientConnection>) {
-        client.uploading.set(true);
+    fn drain_upload(
+        &self,
+        source: Rc<UploadSource>,
+        ticket: PendingReply,
+        wait: Micros,
+        client: &Rc<ClientConnection>,
+    ) {
+        client.draining_upload.set(true);
         // Danger: who holds the connection keeps its socket open.
         let (driver, client) = (self.driver.clone(), Rc::downgrade(client));
         tokio::task::spawn_local(async move {
             source.drain().await;
             if let Some(client) = client.upgrade() {
-                client.uploading.set(false);
+                client.draining_upload.set(false);
             }
-            driver.uploaded(&ticket, wait);
+            driver.body_received(&ticket, wait);
         });
     }
 
     /// The answer to a client for what came of its request.
-    async fn reply(
+    async fn build_answer(
         &self,
         reply: Reply,
         request: RequestLabel,
-        taken: Taken,
+        taken: RequestInProgress,
         client: &Rc<ClientConnection>,
     ) -> Answer {
         match reply {
@@ -237,27 +249,27 @@
                 let (head, body) = answer.into_parts();
                 let body = match body {
                     Either::Left(body) => {
-                        self.figures.settle(request.class, Ending::Passed);
+                        self.metrics.record_request(request.class, RequestOutcome::Passed);
                         Either::Left(body)
                     }
                     Either::Right(download) => {
-                        let (client, figures) = (client.clone(), self.figures.clone());
+                        let (client, figures) = (client.clone(), self.metrics.clone());
                         Either::Right(StreamedAnswer::new(download, client, figures, request, taken))
                     }
                 };
                 Response::from_parts(head, body)
             }
-            Reply::Refused { wait, tried, why } => {
-                self.figures.reasons.refused(&request.id, Refused::Decided(why));
-                self.figures.settle(request.class, Ending::Dropped);
-                refused(wait, tried)
+            Reply::Refused { retry_after: wait, attempted: tried, reason: why } => {
+                self.metrics.reasons.record_refusal(&request.correlation_id, RefusalCause::Decided(why));
+                self.metrics.record_request(request.class, RequestOutcome::Dropped);
+                refusal_answer(wait, tried)
             }
             Reply::Failed => {
-                self.figures.settle(request.class, Ending::Failed);
-                plain(StatusCode::GATEWAY_TIMEOUT, "failed\n")
+                self.metrics.record_request(request.class, RequestOutcome::Failed);
+                text_answer(StatusCode::GATEWAY_TIMEOUT, "failed\n")
             }
             Reply::ClientClosed => {
-                client.cut(super::CutReason::ClientClosed);
+                client.abort(super::AbortReason::ClientClosed);
                 std::future::pending().await
             }
         }
@@ -266,14 +278,14 @@
 
 /// What is left of a request's time, which counts from when its last byte came. Danger: that may be long before it is
 /// read: in the listener's line, behind a process that was held up, on a core that others use.
-fn left_of(wait: Micros, client: &ClientConnection) -> Micros {
+fn remaining_time(wait: Micros, client: &ClientConnection) -> Micros {
     wait.saturating_sub(client.meter.since_last_data().as_micros() as Micros)
 }
 
 /// A refusal, with when to come again where that is known (in microseconds; 0: it is not).
-fn refused(wait: Micros, tried: bool) -> Answer {
+fn refusal_answer(wait: Micros, tried: bool) -> Answer {
     let status = if tried { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
-    let mut answer = plain(status, "refused\n");
+    let mut answer = text_answer(status, "refused\n");
     if wait > 0 {
         let seconds = format!("{:.3}", wait as f64 / 1e6);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
--- a/node/src/server/transfer.rs
+++ b/node/src/server/transfer.rs
@@ -3,7 +3,7 @@
 use super::connection::{ClientConnection, Phase};
 use crate::body::download::Download;
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
-use crate::figures::{Ending, Metrics, Taken};
+use crate::figures::{Metrics, RequestInProgress, RequestOutcome};
 use bytes::Bytes;
 use caperwind::ClassIndex;
 use hyper::body::{Body, Frame, SizeHint};
@@ -18,7 +18,7 @@
     /// Its class.
     pub class: ClassIndex,
     /// The client's name for it.
-    pub id: Rc<str>,
+    pub correlation_id: Rc<str>,
 }
 
 /// An answer on its way, counted by how it ends; one whose client has left is not.
@@ -29,7 +29,7 @@
     request: RequestLabel,
     began: Instant,
     /// The request in work, until its end is settled.
-    taken: Option<Taken>,
+    in_progress: Option<RequestInProgress>,
 }
 
 impl StreamedAnswer {
@@ -39,37 +39,37 @@
         client: Rc<ClientConnection>,
         figures: Rc<Metrics>,
         request: RequestLabel,
-        taken: Taken,
+        taken: RequestInProgress,
     ) -> Self {
-        client.progress.set(Some(download.progress()));
-        StreamedAnswer { download, client, figures, request, began: Instant::now(), taken: Some(taken) }
+        client.answer_progress.set(Some(download.progress()));
+        StreamedAnswer { download, client, figures, request, began: Instant::now(), in_progress: Some(taken) }
     }
 
     fn complete(&mut self) {
-        if self.taken.take().is_some() {
-            self.figures.settle(self.request.class, Ending::Passed);
+        if self.in_progress.take().is_some() {
+            self.figures.record_request(self.request.class, RequestOutcome::Passed);
         }
     }
 
     fn interrupt(&mut self, why: AnswerInterruption) {
-        if self.taken.take().is_none() {
+        if self.in_progress.take().is_none() {
             return;
         }
         let client_left = matches!(why, AnswerInterruption::ClientClosed | AnswerInterruption::ClientStopped);
         if !client_left {
-            self.figures.settle(self.request.class, Ending::Failed);
+            self.figures.record_request(self.request.class, RequestOutcome::Failed);
         }
         let progress = self.download.progress();
         let line = format!(
             "answer interrupted: {why}; request {:?} of class {}, backend {}: {} bytes in {} ms, the last {} ms ago",
-            self.request.id,
+            self.request.correlation_id,
             self.figures.class_name(self.request.class),
             progress.backend,
             progress.received,
             self.began.elapsed().as_millis(),
             progress.last_received.elapsed().as_millis(),
         );
-        self.figures.answer_interrupted(why, &line);
+        self.figures.record_answer_interruption(why, &line);
     }
 }
 
@@ -82,7 +82,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerInterruption>>> {
         let next = Pin::new(&mut self.download).poll_frame(cx);
-        self.client.progress.set(Some(self.download.progress()));
+        self.client.answer_progress.set(Some(self.download.progress()));
         match &next {
             Poll::Ready(Some(Err(why))) => self.interrupt(*why),
             Poll::Ready(None) => self.complete(),
@@ -103,14 +103,14 @@
 
 impl Drop for StreamedAnswer {
     fn drop(&mut self) {
-        self.interrupt(self.client.cut_reason().of_answer());
-        self.client.progress.set(None);
-        self.client.enter(Phase::Idle);
+        self.interrupt(self.client.cut_reason().answer_interruption());
+        self.client.answer_progress.set(None);
+        self.client.enter_phase(Phase::Idle);
     }
 }
 
 /// A request's body that is coming; dropped before its end is told, it was interrupted with its connection.
-pub struct UploadWatch {
+pub struct UploadMonitor {
     client: Rc<ClientConnection>,
     figures: Rc<Metrics>,
     request: RequestLabel,
@@ -118,10 +118,10 @@
     ended: bool,
 }
 
-impl UploadWatch {
+impl UploadMonitor {
     /// Watches the body of a request that has begun to come.
     pub fn new(client: Rc<ClientConnection>, figures: Rc<Metrics>, request: RequestLabel) -> Self {
-        UploadWatch { client, figures, request, began: Instant::now(), ended: false }
+        UploadMonitor { client, figures, request, began: Instant::now(), ended: false }
     }
 
     /// All of it has come.
@@ -136,17 +136,17 @@
         }
         let line = format!(
             "upload interrupted: {why}; request {:?} of class {}: {} bytes read in {} ms",
-            self.request.id,
+            self.request.correlation_id,
             self.figures.class_name(self.request.class),
             self.client.read_in_phase(),
             self.began.elapsed().as_millis(),
         );
-        self.figures.upload_interrupted(why, &line);
+        self.figures.record_upload_interruption(why, &line);
     }
 }
 
-impl Drop for UploadWatch {
+impl Drop for UploadMonitor {
     fn drop(&mut self) {
-        self.interrupt(self.client.cut_reason().of_upload());
+        self.interrupt(self.client.cut_reason().upload_interruption());
     }
 }
