--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -1,5 +1,7 @@
-//! Owns the decision module and the table of open requests: events in, actions out, timers between.
-//! It decides nothing.
+//! Connects the decision module to sockets, timers and the counter.
+//!
+//! The driver keeps the table of open requests, passes events to the decision module and carries out the actions
+//! that it returns. It makes no decisions of its own.
 
 mod actions;
 mod backend_list;
@@ -29,28 +31,36 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::task::AbortHandle;
 
-/// Requests open at once; further ones are refused unseen.
+/// The maximum number of open requests. The driver refuses further ones without asking the decision module.
 const MAX_OPEN_REQUESTS: usize = 4096;
-/// Danger: an answer that crosses the client's deadline on its way is lost. The way is up to a few
-/// milliseconds, and on a core that others share a request may have stood unread for some more.
+/// The time, in microseconds, by which a request's deadline here precedes the client's. A response that arrives after
+/// the client's deadline is lost: the network takes up to a few milliseconds, and on a shared core a request may have
+/// waited unread for some more.
 const DEADLINE_MARGIN: Micros = 20_000;
-/// A body that is still coming is given so long, if its client keeps sending; its time counts from its end.
+/// The maximum time, in microseconds, for receiving a request body from a client that keeps sending. The request's
+/// own time limit starts when the whole body has arrived.
 const MAX_UPLOAD_TIME: Micros = 900_000_000;
-/// The final answer to a request.
+
+/// The final result of a request.
 pub enum Reply {
+    /// The response of a backend.
     Served(Box<Response<AnswerBody>>),
-    /// Trying again is harmless; when to, in microseconds (0: no advice), and whether it was tried.
+    /// The request was refused; repeating it is safe.
     Refused {
+        /// The time after which the client should retry, in microseconds; 0 if there is no advice.
         retry_after: Micros,
+        /// Whether an attempt was begun.
         attempted: bool,
+        /// Why the request was refused.
         reason: RefusalReason,
     },
-    /// No promise.
+    /// The request failed; a backend may have processed it.
     Failed,
-    /// None: the client was found to have closed its connection.
+    /// The client has closed its connection, so that nothing is sent.
     ClientClosed,
 }
 
+/// An attempt that has not ended yet.
 struct InFlightAttempt {
     attempt: u8,
     backend: BackendId,
@@ -58,31 +68,33 @@
     task: AbortHandle,
 }
 
+/// A request without a final result, or with attempts in flight.
 struct OpenRequest {
-    /// The client's own name for it.
+    /// The value of its `X-Correlation-Id` header.
     correlation_id: Rc<str>,
     message: Rc<Message>,
-    /// Gone once the request has its final answer.
+    /// `None` once the final result has been sent.
     reply: Option<oneshot::Sender<Reply>>,
     deadline: Micros,
-    /// The same, for those at work on it.
+    /// The same deadline, shared with the attempts and with the transfer of the response.
     shared_deadline: Deadline,
-    /// When its last byte had come; 0: it is still coming.
+    /// When its last byte was received; 0 while the body is still being received.
     received_at: Micros,
     attempts: u8,
-    /// What may be done with requests of its class.
+    /// Whether requests of its class may be repeated.
     effect: Effect,
-    /// All attempts so far, by their numbers.
+    /// All attempts so far, indexed by attempt number.
     history: Vec<EarlierAttempt>,
-    /// The attempts that are out: where the settings allow second copies, there may be two.
+    /// The attempts in flight; there may be two if hedging is enabled.
     in_flight: Vec<InFlightAttempt>,
 }
 
+/// The mutable state of the driver.
 struct DriverState {
     gateway: Gateway,
     requests: HashMap<RequestId, OpenRequest>,
     last_id: u32,
-    /// The clients' names of open requests.
+    /// The correlation ids of open requests.
     open_correlation_ids: HashSet<Rc<str>>,
     timers: BTreeSet<(Micros, TimerKind)>,
     events: VecDeque<Event>,
@@ -92,6 +104,7 @@
     report_counts: ReportCounts,
 }
 
+/// The parts of the driver that all its handles share.
 struct Inner {
     state: RefCell<DriverState>,
     config: Config,
@@ -101,13 +114,13 @@
     reason_counts: Rc<ReasonCounts>,
     wake: Notify,
     has_backend_list: Cell<bool>,
-    /// Discovery itself has told a list.
+    /// Notified when discovery delivers a list; a cached list or one handed over does not count.
     list_received: Notify,
     shutdown_deadline: Cell<Option<Micros>>,
 }
 
 impl DriverState {
-    /// Lets go of a request that is over, and of all that was kept for it.
+    /// Removes a finished request with its correlation id and its deadline timer.
     fn remove_request(&mut self, id: RequestId) {
         if let Some(open) = self.requests.remove(&id) {
             self.open_correlation_ids.remove(&open.correlation_id);
@@ -116,31 +129,33 @@
     }
 }
 
-/// The driver, as its users hold it. Borrows of its state never cross an await.
+/// A cheaply cloned handle to the driver. No borrow of its state may be held across an await.
 #[derive(Clone)]
 pub struct Driver(Rc<Inner>);
 
-/// A place in the table; dropping it before the answer has come means that the client has gone.
+/// An open request whose final result is awaited. Dropping it before the result has arrived abandons the request: its
+/// client has gone.
 pub struct PendingReply {
     driver: Driver,
     id: RequestId,
     receiver: oneshot::Receiver<Reply>,
-    /// The end of the request's time, also for an answer that is passed on after the request was settled.
+    /// The request's deadline. It also limits the transfer of a response that goes on after the final result.
     deadline: Deadline,
     done: bool,
 }
 
 impl Driver {
+    /// Creates a driver with an empty list of backends. Returns an error if the decision module rejects `config`.
     pub fn new(
-        module: Config,
+        config: Config,
         seed: u64,
         pool: Rc<Pool>,
         counter: Rc<Counter>,
-        reasons: Rc<ReasonCounts>,
+        reason_counts: Rc<ReasonCounts>,
     ) -> Result<Self, String> {
         let clock = Clock::start();
-        let gateway = Gateway::new(module.clone(), seed).map_err(|e| e.to_string())?;
-        let core = DriverState {
+        let gateway = Gateway::new(config.clone(), seed).map_err(|e| e.to_string())?;
+        let state = DriverState {
             gateway,
             requests: HashMap::new(),
             last_id: 0,
@@ -153,12 +168,12 @@
             report_counts: ReportCounts::default(),
         };
         Ok(Driver(Rc::new(Inner {
-            state: RefCell::new(core),
-            config: module,
+            state: RefCell::new(state),
+            config,
             clock,
             pool,
             counter,
-            reason_counts: reasons,
+            reason_counts,
             wake: Notify::new(),
             has_backend_list: Cell::new(false),
             list_received: Notify::new(),
@@ -166,201 +181,215 @@
         })))
     }
 
+    /// The configuration of the decision module.
     pub fn config(&self) -> &Config {
         &self.0.config
     }
 
-    /// Counts the steps that were refused.
+    /// The guard that counts refused steps.
     pub fn guard(&self) -> &Rc<Guard> {
         &self.0.pool.guard
     }
 
-    /// Connections to backends that could not be begun here, by error.
+    /// The number of connections to backends that failed on this machine, by error name.
     pub fn local_failures(&self) -> serde_json::Map<String, serde_json::Value> {
         self.0.pool.local_failures.report()
     }
 
-    /// Whether a list of backends is in hand.
+    /// Whether a list of backends is known: a non-empty cached one, or any from discovery.
     pub fn has_backend_list(&self) -> bool {
         self.0.has_backend_list.get()
     }
 
+    /// Whether this process is shutting down.
     pub fn shutting_down(&self) -> bool {
         self.0.shutdown_deadline.get().is_some()
     }
 
-    /// From now on, no answer may come later than `span` from now.
-    pub fn begin_shutdown(&self, span: Micros) {
-        let last = self.0.clock.now() + span;
-        self.0.shutdown_deadline.set(Some(last));
-        let (mut core, mut moved) = (self.0.state.borrow_mut(), Vec::new());
-        // Danger: an attempt that ends then must not be followed by another.
-        for (id, open) in &mut core.requests {
-            if open.deadline > last {
-                moved.push((std::mem::replace(&mut open.deadline, last), *id));
-                open.shared_deadline.set(self.0.clock.instant(last));
+    /// Starts the shutdown: every request, open or new, must be finished within `time_limit` microseconds from now.
+    pub fn begin_shutdown(&self, time_limit: Micros) {
+        let shutdown_deadline = self.0.clock.now() + time_limit;
+        self.0.shutdown_deadline.set(Some(shutdown_deadline));
+        let (mut state, mut moved) = (self.0.state.borrow_mut(), Vec::new());
+        // The requests get the new deadline themselves, so that no attempt that ends at shutdown is retried.
+        for (id, open) in &mut state.requests {
+            if open.deadline > shutdown_deadline {
+                moved.push((std::mem::replace(&mut open.deadline, shutdown_deadline), *id));
+                open.shared_deadline.set(self.0.clock.instant(shutdown_deadline));
             }
         }
-        for (before, id) in moved {
-            core.timers.remove(&(before, TimerKind::Deadline(id)));
-            core.timers.insert((last, TimerKind::Deadline(id)));
+        for (old_deadline, id) in moved {
+            state.timers.remove(&(old_deadline, TimerKind::Deadline(id)));
+            state.timers.insert((shutdown_deadline, TimerKind::Deadline(id)));
         }
         self.0.wake.notify_one();
     }
 
+    /// Whether no request is open.
     pub fn is_idle(&self) -> bool {
         self.0.state.borrow().requests.is_empty()
     }
 
-    /// Takes a request in, unless too many are open.
-    pub fn submit(&self, message: Message, terms: RequestMetadata) -> Result<PendingReply, Rejection> {
-        let mut core = self.0.state.borrow_mut();
-        if core.requests.len() >= MAX_OPEN_REQUESTS {
-            self.0.reason_counts.record_refusal(&terms.correlation_id, RefusalCause::TooManyOpen);
+    /// Adds a request to the table and passes it to the decision module. Returns a rejection if too many requests are
+    /// open or one with the same correlation id is.
+    pub fn submit(&self, message: Message, metadata: RequestMetadata) -> Result<PendingReply, Rejection> {
+        let mut state = self.0.state.borrow_mut();
+        if state.requests.len() >= MAX_OPEN_REQUESTS {
+            self.0.reason_counts.record_refusal(&metadata.correlation_id, RefusalCause::TooManyOpen);
             return Err((StatusCode::SERVICE_UNAVAILABLE, "too many requests open\n"));
         }
-        // Danger: backends know a request by this name: a second one would be taken for a copy of the first.
-        if !core.open_correlation_ids.insert(terms.correlation_id.clone()) {
+        // Backends identify a request by its correlation id: they would take a second one for a repeat of the first.
+        if !state.open_correlation_ids.insert(metadata.correlation_id.clone()) {
             return Err((StatusCode::CONFLICT, "a request of this X-Correlation-Id is open\n"));
         }
         let now = self.0.clock.now();
-        let coming = matches!(message.body, Payload::Coming(_));
-        let whole = if coming { 0 } else { now };
-        let wait =
-            terms.time_limit.saturating_sub(DEADLINE_MARGIN) + if coming { MAX_UPLOAD_TIME } else { 0 };
-        let mut deadline = now + wait;
-        deadline = self.0.shutdown_deadline.get().map_or(deadline, |last| deadline.min(last));
+        let body_pending = matches!(message.body, Payload::Coming(_));
+        let received_at = if body_pending { 0 } else { now };
+        let time_left = metadata.time_limit.saturating_sub(DEADLINE_MARGIN)
+            + if body_pending { MAX_UPLOAD_TIME } else { 0 };
+        let mut deadline = now + time_left;
+        deadline = self.0.shutdown_deadline.get().map_or(deadline, |limit| deadline.min(limit));
         let id = loop {
-            core.last_id = core.last_id.wrapping_add(1);
-            let id = RequestId(core.last_id);
-            if !core.requests.contains_key(&id) {
+            state.last_id = state.last_id.wrapping_add(1);
+            let id = RequestId(state.last_id);
+            if !state.requests.contains_key(&id) {
                 break id;
             }
         };
-        let (reply, answer) = oneshot::channel();
-        let (name, message) = (terms.correlation_id, Rc::new(message));
-        let (reply, last) = (Some(reply), Deadline::new(self.0.clock.instant(deadline)));
-        let ends = last.clone();
-        let effect = self.0.config.classes[usize::from(terms.class.0)].effect;
-        let (history, out) = (Vec::new(), Vec::new());
+        let (reply, receiver) = oneshot::channel();
+        let (correlation_id, message) = (metadata.correlation_id, Rc::new(message));
+        let (reply, shared_deadline) = (Some(reply), Deadline::new(self.0.clock.instant(deadline)));
+        let reply_deadline = shared_deadline.clone();
+        let effect = self.0.config.classes[usize::from(metadata.class.0)].effect;
+        let (history, in_flight) = (Vec::new(), Vec::new());
         let open = OpenRequest {
-            correlation_id: name,
+            correlation_id,
             message,
             reply,
             deadline,
-            shared_deadline: last,
-            received_at: whole,
+            shared_deadline,
+            received_at,
             attempts: 0,
             effect,
             history,
-            in_flight: out,
+            in_flight,
         };
-        core.requests.insert(id, open);
-        core.timers.insert((deadline, TimerKind::Deadline(id)));
-        core.events.push_back(Event::Request(Arrival {
+        state.requests.insert(id, open);
+        state.timers.insert((deadline, TimerKind::Deadline(id)));
+        state.events.push_back(Event::Request(Arrival {
             id,
-            class: terms.class,
-            plan: terms.plan,
-            customer: terms.customer,
+            class: metadata.class,
+            plan: metadata.plan,
+            customer: metadata.customer,
             deadline,
-            units: terms.units,
-            spread: terms.spread,
-            first_gateway: terms.first_gateway,
-            client_repeat: terms.client_repeat,
+            units: metadata.units,
+            spread: metadata.spread,
+            first_gateway: metadata.first_gateway,
+            client_repeat: metadata.client_repeat,
             write: false,
-            body_pending: coming,
+            body_pending,
         }));
-        self.run(&mut core, now);
-        Ok(PendingReply { driver: self.clone(), id, receiver: answer, deadline: ends, done: false })
+        self.run(&mut state, now);
+        Ok(PendingReply { driver: self.clone(), id, receiver, deadline: reply_deadline, done: false })
     }
 
-    /// Whether a backend of that name is listed or out by hand.
+    /// Whether a backend of that name is listed or disabled by an operator.
     pub fn knows_backend(&self, name: &str) -> bool {
         self.0.state.borrow().backends.knows_backend(name)
     }
 
-    /// The last byte of a request that was still coming has come: its time counts from here.
-    pub fn body_received(&self, ticket: &PendingReply, wait: Micros) {
-        let mut core = self.0.state.borrow_mut();
-        let (id, now) = (ticket.id, self.0.clock.now());
-        let wanted = now + wait.saturating_sub(DEADLINE_MARGIN);
-        let deadline = self.0.shutdown_deadline.get().map_or(wanted, |last| wanted.min(last));
-        // Danger: an answer that came early may still be passed on, though its request is settled.
-        ticket.deadline.set(self.0.clock.instant(deadline));
-        let Some(open) = core.requests.get_mut(&id) else { return };
-        let before = std::mem::replace(&mut open.deadline, deadline);
+    /// Records that the last byte of a request body has arrived. The request's time limit, in microseconds, starts
+    /// now.
+    pub fn body_received(&self, pending: &PendingReply, time_limit: Micros) {
+        let mut state = self.0.state.borrow_mut();
+        let (id, now) = (pending.id, self.0.clock.now());
+        let deadline = now + time_limit.saturating_sub(DEADLINE_MARGIN);
+        let deadline = self.0.shutdown_deadline.get().map_or(deadline, |limit| deadline.min(limit));
+        // The deadline is set even if the request has its final result: an early response may still be in transfer.
+        pending.deadline.set(self.0.clock.instant(deadline));
+        let Some(open) = state.requests.get_mut(&id) else { return };
+        let old_deadline = std::mem::replace(&mut open.deadline, deadline);
         open.received_at = now;
-        core.timers.remove(&(before, TimerKind::Deadline(id)));
-        core.timers.insert((deadline, TimerKind::Deadline(id)));
-        core.events.push_back(Event::Uploaded { id, deadline });
+        state.timers.remove(&(old_deadline, TimerKind::Deadline(id)));
+        state.timers.insert((deadline, TimerKind::Deadline(id)));
+        state.events.push_back(Event::Uploaded { id, deadline });
         self.0.wake.notify_one();
-        self.run(&mut core, now);
+        self.run(&mut state, now);
     }
 
-    /// Takes a backend out by hand, or back in; one that is not listed yet, too.
-    pub fn set_backend_disabled(&self, name: &str, out: bool) {
-        let mut core = self.0.state.borrow_mut();
-        let backend = core.backends.set_disabled(name, out);
-        self.0.pool.bar(backend, out);
-        core.events.push_back(Event::BackendDisabled { backend, disabled: out });
-        self.run(&mut core, self.0.clock.now());
+    /// Disables or enables a backend for an operator. The backend need not be listed.
+    pub fn set_backend_disabled(&self, name: &str, disabled: bool) {
+        let mut state = self.0.state.borrow_mut();
+        let backend = state.backends.set_disabled(name, disabled);
+        self.0.pool.bar(backend, disabled);
+        state.events.push_back(Event::BackendDisabled { backend, disabled });
+        self.run(&mut state, self.0.clock.now());
     }
 
-    /// What the next process of this gateway is to know beside what the module knows.
+    /// The listed backends and the names of those that an operator has disabled, for the next process of this
+    /// gateway.
     pub fn backend_snapshot(&self) -> (List, Vec<String>) {
         self.0.state.borrow().backends.snapshot()
     }
 
+    /// The state of the decision module for the next process of this gateway.
     pub fn handover_state(&self) -> HandoverState {
         self.0.state.borrow().gateway.handover_state()
     }
 
+    /// Removes and returns the units that the counter has not been told of, so that another process can add them.
     pub fn take_unsynced_units(&self) -> Vec<UnsyncedUnits> {
         self.0.state.borrow_mut().gateway.take_unsynced_units()
     }
 
-    /// Whether units are to be told to the counter still.
+    /// Whether there are units that have not been added to the counter.
     pub fn has_unsynced_units(&self) -> bool {
         self.0.state.borrow().gateway.has_unsynced_units()
     }
 
-    /// Whether units are told to a counter at all.
+    /// Whether a counter is configured.
     pub fn uses_counter(&self) -> bool {
         self.0.config.counter.is_some()
     }
 
-    pub fn receive_handover(&self, legacy: HandoverState) {
-        self.handle_event(Event::HandoverReceived(Box::new(legacy)));
+    /// Applies the state that another process of this gateway has handed over.
+    pub fn receive_handover(&self, handed_over: HandoverState) {
+        self.handle_event(Event::HandoverReceived(Box::new(handed_over)));
     }
 
-    pub fn add_unsynced_units(&self, spent: Vec<UnsyncedUnits>) {
-        self.handle_event(Event::UnsyncedUnits(spent));
+    /// Takes over the units that an ending process of this gateway has not added to the counter.
+    pub fn add_unsynced_units(&self, units: Vec<UnsyncedUnits>) {
+        self.handle_event(Event::UnsyncedUnits(units));
     }
 
-    pub fn set_other_process_serving(&self, on: bool) {
-        self.handle_event(Event::OtherProcess { serving: on });
+    /// Records whether another process of this gateway runs beside this one.
+    pub fn set_other_process_serving(&self, serving: bool) {
+        self.handle_event(Event::OtherProcess { serving });
     }
 
-    /// Waits until discovery has told a list.
+    /// Waits until discovery delivers a list.
     pub async fn wait_for_first_list(&self) {
         self.0.list_received.notified().await;
     }
 
+    /// Starts or ends a drain for an operator.
     pub fn set_draining(&self, on: bool) {
         self.handle_event(Event::Drain { on });
     }
 
+    /// Whether this gateway is draining.
     pub fn draining(&self) -> bool {
         self.0.state.borrow().gateway.draining()
     }
 
-    /// Backends listed, and of these the ones that get nothing new; and attempts written whole.
+    /// The number of listed backends, how many of these get no new requests, and the number of attempts written
+    /// whole.
     pub fn backend_counts(&self) -> (usize, usize, u64) {
-        let v = self.0.state.borrow().gateway.diagnostics();
-        (v.listed_backends, v.skipped_backends, self.0.pool.attempts_written.get())
+        let diagnostics = self.0.state.borrow().gateway.diagnostics();
+        (diagnostics.listed_backends, diagnostics.skipped_backends, self.0.pool.attempts_written.get())
     }
 
-    /// The list kept from an earlier life.
+    /// Applies a list of backends that this gateway kept from an earlier process or was handed over.
     pub fn apply_cached_list(&self, list: List) {
         if !list.endpoints.is_empty() {
             self.0.has_backend_list.set(true);
@@ -368,36 +397,40 @@
         self.apply_list(list, ListKind::Cached);
     }
 
+    /// Applies a list of backends and passes the change to the decision module.
     fn apply_list(&self, list: List, kind: ListKind) {
-        let core = &mut *self.0.state.borrow_mut();
+        let state = &mut *self.0.state.borrow_mut();
         if kind != ListKind::Delta {
-            let left_out = core.backends.missing_from(&list);
-            left_out.iter().for_each(|name| self.remove_backend(core, name));
+            let missing = state.backends.missing_from(&list);
+            missing.iter().for_each(|name| self.remove_backend(state, name));
         }
-        let named = list.endpoints.len();
-        let rows = list.endpoints.into_iter().filter_map(|e| self.update_backend(core, e));
+        let listed = list.endpoints.len();
+        let rows = list.endpoints.into_iter().filter_map(|e| self.update_backend(state, e));
         let rows: Vec<BackendRow> = rows.collect();
-        if rows.len() < named {
-            let passed_over = named - rows.len();
-            log::warn!("{passed_over} backends of a list are passed over: {MAX_BACKENDS} are known");
+        if rows.len() < listed {
+            let ignored = listed - rows.len();
+            log::warn!(
+                "backend list: {ignored} new backends ignored: {MAX_BACKENDS} are listed already, which is the limit"
+);
         }
-        core.events.push_back(Event::Backends { kind, version: list.index, rows });
-        self.run(core, self.0.clock.now());
+        state.events.push_back(Event::Backends { kind, version: list.index, rows });
+        self.run(state, self.0.clock.now());
     }
 
-    /// A backend is gone.
-    fn remove_backend(&self, core: &mut DriverState, name: &str) {
-        if let Some(id) = core.backends.remove(name, self.0.clock.now()) {
+    /// Removes a backend that is gone, with its idle connections.
+    fn remove_backend(&self, state: &mut DriverState, name: &str) {
+        if let Some(id) = state.backends.remove(name, self.0.clock.now()) {
             self.0.pool.forget(id);
         }
     }
 
-    /// A backend as the module knows it; `None` for one more than may be remembered.
-    fn update_backend(&self, core: &mut DriverState, endpoint: Endpoint) -> Option<BackendRow> {
+    /// Updates a backend in the list and in the pool. Returns its row for the decision module, or `None` if it is new
+    /// and [`MAX_BACKENDS`] are listed.
+    fn update_backend(&self, state: &mut DriverState, endpoint: Endpoint) -> Option<BackendRow> {
         let UpdatedBackend { row, endpoint, same_process } =
-            core.backends.update(endpoint, &self.0.config)?;
+            state.backends.update(endpoint, &self.0.config)?;
         if row.state == BackendState::Gone {
-            self.remove_backend(core, &endpoint.name);
+            self.remove_backend(state, &endpoint.name);
         } else {
             let ready = row.state == BackendState::Ready;
             self.0.pool.set(row.backend, endpoint.address, ready, same_process);
@@ -405,21 +438,22 @@
         Some(row)
     }
 
+    /// Passes an event to the decision module and carries out the resulting actions.
     fn handle_event(&self, event: Event) {
-        let mut core = self.0.state.borrow_mut();
-        core.events.push_back(event);
-        self.run(&mut core, self.0.clock.now());
+        let mut state = self.0.state.borrow_mut();
+        state.events.push_back(event);
+        self.run(&mut state, self.0.clock.now());
     }
 }
 
 impl Subscriber for Driver {
-    /// News from discovery; true where the module has asked for the whole list.
+    /// Applies a list from discovery. Returns true if the decision module asks for the whole list.
     fn told(&self, mut list: List, older: bool) -> bool {
         self.0.has_backend_list.set(true);
         self.0.list_received.notify_one();
         if older {
-            let core = self.0.state.borrow();
-            list.endpoints.retain_mut(|e| core.backends.merge_possibly_stale(e));
+            let state = self.0.state.borrow();
+            list.endpoints.retain_mut(|e| state.backends.merge_possibly_stale(e));
         }
         let kind = list.kind();
         self.apply_list(list, kind);
@@ -448,6 +482,7 @@
 }
 
 impl PendingReply {
+    /// Waits for the final result of the request.
     pub async fn wait(&mut self) -> Reply {
         let reply = (&mut self.receiver).await.unwrap_or(Reply::Failed);
         self.done = true;
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -1,4 +1,4 @@
-//! What the module says, carried out: attempts are begun and ended, requests get their final answers.
+//! Carries out the actions of the decision module: starts and ends attempts and sends final results.
 
 use super::timers::TimerKind;
 use super::{Driver, DriverState, InFlightAttempt, Reply};
@@ -9,59 +9,59 @@
     Action, AttemptIndex, AttemptResult, BackendId, Event, Micros, Outcome, RequestId, SendReason,
 };
 
-/// An attempt that the module wants.
+/// An attempt that the decision module has ordered.
 struct SendOrder {
     id: RequestId,
     backend: BackendId,
+    /// How long the attempt may take, in microseconds.
     timeout: Option<Micros>,
+    /// The latest time at which the request may be written to the backend.
     begin_by: Option<Micros>,
     reason: SendReason,
 }
 
 impl Driver {
-    /// Tells the counter of as many units as it bears: the process ends.
+    /// Sends unsynced units to the counter, as many calls at once as are allowed. Called while the process ends.
     pub fn flush(&self) {
-        let mut core = self.0.state.borrow_mut();
-        let (now, mut acts) = (self.0.clock.now(), Vec::new());
-        core.gateway.flush(now, &mut acts);
-        acts.into_iter().for_each(|action| self.execute(&mut core, now, action));
-        self.run(&mut core, now);
+        let mut state = self.0.state.borrow_mut();
+        let (now, mut actions) = (self.0.clock.now(), Vec::new());
+        state.gateway.flush(now, &mut actions);
+        actions.into_iter().for_each(|action| self.execute(&mut state, now, action));
+        self.run(&mut state, now);
     }
 
-    /// Hands waiting events to the module and carries out what it says, until there are none.
-    pub(super) fn run(&self, core: &mut DriverState, now: Micros) {
-        let next = core.timers.first().map(|t| t.0);
-        while let Some(event) = core.events.pop_front() {
-            let mut acts = std::mem::take(&mut core.actions);
-            core.gateway.handle(now, event, &mut acts);
-            acts.drain(..).for_each(|action| self.execute(core, now, action));
-            core.actions = acts;
+    /// Passes queued events to the decision module and carries out the resulting actions until the queue is empty.
+    /// Wakes the timer task if the next timer is due earlier than before.
+    pub(super) fn run(&self, state: &mut DriverState, now: Micros) {
+        let next_due = state.timers.first().map(|t| t.0);
+        while let Some(event) = state.events.pop_front() {
+            let mut actions = std::mem::take(&mut state.actions);
+            state.gateway.handle(now, event, &mut actions);
+            actions.drain(..).for_each(|action| self.execute(state, now, action));
+            state.actions = actions;
         }
-        if core.timers.first().map(|t| t.0) < next || next.is_none() {
+        if state.timers.first().map(|t| t.0) < next_due || next_due.is_none() {
             self.0.wake.notify_one();
         }
     }
 
-    fn execute(&self, core: &mut DriverState, now: Micros, action: Action) {
+    /// Carries out one action of the decision module.
+    fn execute(&self, state: &mut DriverState, now: Micros, action: Action) {
         match action {
-            Action::Send { id, backend, timeout, begin_by, reason: why } => {
-                let order = SendOrder { id, backend, timeout, begin_by, reason: why };
-                self.start_attempt(core, now, order);
+            Action::Send { id, backend, timeout, begin_by, reason } => {
+                let order = SendOrder { id, backend, timeout, begin_by, reason };
+                self.start_attempt(state, now, order);
             }
-            Action::Refuse { id, retry_after: wait, reason: why } => {
-                let tried = core.requests.get(&id).is_some_and(|r| r.attempts > 0);
-                self.send_reply(
-                    core,
-                    id,
-                    Reply::Refused { retry_after: wait, attempted: tried, reason: why },
-                );
+            Action::Refuse { id, retry_after, reason } => {
+                let attempted = state.requests.get(&id).is_some_and(|r| r.attempts > 0);
+                self.send_reply(state, id, Reply::Refused { retry_after, attempted, reason });
             }
-            Action::Fail { id } => self.send_reply(core, id, Reply::Failed),
+            Action::Fail { id } => self.send_reply(state, id, Reply::Failed),
             Action::Cancel { id, attempt } => {
-                self.end_attempt(core, now, id, attempt.0, Outcome::Cancelled.into());
+                self.end_attempt(state, now, id, attempt.0, Outcome::Cancelled.into());
             }
             Action::SetTimer { token, after } => {
-                core.timers.insert((now + after, TimerKind::Module(token)));
+                state.timers.insert((now + after, TimerKind::Module(token)));
             }
             Action::Probe { backend } => {
                 let driver = self.clone();
@@ -72,24 +72,26 @@
                 });
             }
             Action::CloseIdle { backend } => self.0.pool.close_idle(backend),
-            Action::CallCounter { key: name, amount, lifetime: keep } => {
-                self.0.counter.call(self.clone(), self.0.clock, name, amount, keep);
+            Action::CallCounter { key, amount, lifetime } => {
+                self.0.counter.call(self.clone(), self.0.clock, key, amount, lifetime);
             }
             Action::Log { line } => log::info!("{line}"),
-            // The list is followed all the time: a subscription adds nothing to that.
+            // The driver follows the list all the time, so a subscription changes nothing.
             Action::Subscribe { .. } => {}
-            Action::FetchList => core.refetch_list = true,
-            // Gateways share nothing but the counter.
+            Action::FetchList => state.refetch_list = true,
+            // Gateways exchange no messages; they share only the counter.
             Action::SendMessage { .. } => {}
         }
     }
 
-    fn start_attempt(&self, core: &mut DriverState, now: Micros, order: SendOrder) {
-        let SendOrder { id, backend, timeout, begin_by, reason: why } = order;
-        let Some(open) = core.requests.get_mut(&id) else { return };
+    /// Starts an attempt in its own task. If the guard refuses it or it can no longer succeed, it ends at once as not
+    /// sent.
+    fn start_attempt(&self, state: &mut DriverState, now: Micros, order: SendOrder) {
+        let SendOrder { id, backend, timeout, begin_by, reason } = order;
+        let Some(open) = state.requests.get_mut(&id) else { return };
         let attempt = open.attempts;
         open.attempts = attempt.saturating_add(1);
-        let spent = open.message.spent();
+        let body_consumed = open.message.spent();
         let facts = RepeatFacts {
             effect: open.effect,
             earlier: &open.history,
@@ -101,55 +103,56 @@
         if let Err(violation) = allowed {
             self.guard().record(violation, &format!("request {:?}, attempt {attempt}", open.correlation_id));
         }
-        let may_begin = allowed.is_ok() && open.reply.is_some() && !spent && now < open.deadline;
+        let may_begin = allowed.is_ok() && open.reply.is_some() && !body_consumed && now < open.deadline;
         let outcome = if may_begin { None } else { Some(Outcome::NotSent) };
         open.history.push(EarlierAttempt { started_at: now, outcome });
         if !may_begin {
-            let moot = Outcome::NotSent.into();
-            core.events.push_back(attempt_ended_event(
+            let not_sent = Outcome::NotSent.into();
+            state.events.push_back(attempt_ended_event(
                 id,
                 attempt,
                 backend,
                 0,
                 open.reply.is_none(),
-                spent,
-                moot,
+                body_consumed,
+                not_sent,
             ));
             return;
         }
-        self.0.reason_counts.record_attempt(&open.correlation_id, attempt, &backend, why);
+        self.0.reason_counts.record_attempt(&open.correlation_id, attempt, &backend, reason);
         if let Some(limit) = timeout {
-            core.timers.insert((now + limit, TimerKind::AttemptTimeout(id, attempt)));
+            state.timers.insert((now + limit, TimerKind::AttemptTimeout(id, attempt)));
         }
         let (driver, message) = (self.clone(), open.message.clone());
-        let begin_by = begin_by.map(|by| self.0.clock.instant(by));
+        let begin_by = begin_by.map(|time| self.0.clock.instant(time));
         let limits = AttemptLimits { deadline: open.shared_deadline.clone(), begin_by };
         let task = tokio::task::spawn_local(async move {
             let finish = driver.0.pool.attempt(backend, &message, &limits).await;
-            let mut core = driver.0.state.borrow_mut();
+            let mut state = driver.0.state.borrow_mut();
             let now = driver.0.clock.now();
             match finish {
-                Ok(finish) => driver.end_attempt(&mut core, now, id, attempt, finish),
-                Err(ClientClosed) => driver.abandon_request(&mut core, now, id),
+                Ok(finish) => driver.end_attempt(&mut state, now, id, attempt, finish),
+                Err(ClientClosed) => driver.abandon_request(&mut state, now, id),
             }
-            driver.run(&mut core, now);
+            driver.run(&mut state, now);
         });
         open.in_flight.push(InFlightAttempt { attempt, backend, started_at: now, task: task.abort_handle() });
     }
 
-    /// The one end of an attempt that is out. A task that still runs is stopped, which closes its connection.
+    /// Ends an attempt in flight, for whatever reason it ends. Stops its task if it still runs, which closes its
+    /// connection.
     pub(super) fn end_attempt(
         &self,
-        core: &mut DriverState,
+        state: &mut DriverState,
         now: Micros,
         id: RequestId,
         attempt: u8,
         finish: Finish,
     ) {
-        let Some(open) = core.requests.get_mut(&id) else { return };
-        let Some(at) = open.in_flight.iter().position(|o| o.attempt == attempt) else { return };
-        let out = open.in_flight.swap_remove(at);
-        out.task.abort();
+        let Some(open) = state.requests.get_mut(&id) else { return };
+        let Some(index) = open.in_flight.iter().position(|a| a.attempt == attempt) else { return };
+        let ended = open.in_flight.swap_remove(index);
+        ended.task.abort();
         if let Some(earlier) = open.history.get_mut(usize::from(attempt)) {
             earlier.outcome = Some(finish.outcome);
         }
@@ -157,97 +160,101 @@
             "request {:?} attempt {attempt} ended: {} after {} us",
             open.correlation_id,
             outcome_name(finish.outcome),
-            now.saturating_sub(out.started_at)
+            now.saturating_sub(ended.started_at)
         );
         let Finish { outcome, load, billed, answer } = finish;
         if let (Some(answer), Some(reply)) = (answer, open.reply.take_if(|_| outcome == Outcome::Ok)) {
             drop(reply.send(Reply::Served(Box::new(answer))));
         }
-        let (settled, last) = (open.reply.is_none(), open.in_flight.is_empty());
-        // A backend begins once it has all of a request.
-        let (spent, began) = (open.message.spent(), out.started_at.max(open.received_at));
-        core.report_counts.count_attempt(outcome);
-        if settled && last {
-            core.remove_request(id);
+        let (request_done, none_in_flight) = (open.reply.is_none(), open.in_flight.is_empty());
+        // A backend starts to work when it has received the whole request.
+        let (body_consumed, work_began) = (open.message.spent(), ended.started_at.max(open.received_at));
+        state.report_counts.count_attempt(outcome);
+        if request_done && none_in_flight {
+            state.remove_request(id);
         }
         let finish = Finish { outcome, load, billed, answer: None };
-        let elapsed = now.saturating_sub(began);
-        core.events.push_back(attempt_ended_event(
+        let elapsed = now.saturating_sub(work_began);
+        state.events.push_back(attempt_ended_event(
             id,
-            out.attempt,
-            out.backend,
+            ended.attempt,
+            ended.backend,
             elapsed,
-            settled,
-            spent,
+            request_done,
+            body_consumed,
             finish,
         ));
     }
 
-    /// Ends all attempts that are out for a request.
+    /// Ends all attempts of a request that are in flight.
     pub(super) fn end_all_attempts(
         &self,
-        core: &mut DriverState,
+        state: &mut DriverState,
         now: Micros,
         id: RequestId,
         outcome: Outcome,
     ) {
-        while let Some(attempt) = core.requests.get(&id).and_then(|r| r.in_flight.first()).map(|o| o.attempt)
+        while let Some(attempt) = state.requests.get(&id).and_then(|r| r.in_flight.first()).map(|a| a.attempt)
         {
-            self.end_attempt(core, now, id, attempt, outcome.into());
+            self.end_attempt(state, now, id, attempt, outcome.into());
         }
     }
 
-    fn send_reply(&self, core: &mut DriverState, id: RequestId, reply: Reply) {
-        let Some(open) = core.requests.get_mut(&id) else { return };
-        if let Some(to) = open.reply.take() {
-            drop(to.send(reply));
+    /// Sends the final result of a request unless it has been sent, and removes the request if no attempt is in
+    /// flight.
+    fn send_reply(&self, state: &mut DriverState, id: RequestId, reply: Reply) {
+        let Some(open) = state.requests.get_mut(&id) else { return };
+        if let Some(sender) = open.reply.take() {
+            drop(sender.send(reply));
         }
         if open.in_flight.is_empty() {
-            core.remove_request(id);
+            state.remove_request(id);
         }
     }
 
+    /// Abandons a request whose client has gone.
     pub(super) fn client_gone(&self, id: RequestId) {
-        let mut core = self.0.state.borrow_mut();
+        let mut state = self.0.state.borrow_mut();
         let now = self.0.clock.now();
-        self.abandon_request(&mut core, now, id);
-        self.run(&mut core, now);
+        self.abandon_request(&mut state, now, id);
+        self.run(&mut state, now);
     }
 
-    /// Nobody waits for this request any more: the module is told, what is out is closed.
-    pub(super) fn abandon_request(&self, core: &mut DriverState, now: Micros, id: RequestId) {
-        let Some(open) = core.requests.get_mut(&id) else { return };
-        if let Some(to) = open.reply.take() {
-            drop(to.send(Reply::ClientClosed));
-            core.events.push_back(Event::ClientGone { id });
+    /// Abandons a request that no client waits for: informs the decision module and cancels the attempts in flight.
+    pub(super) fn abandon_request(&self, state: &mut DriverState, now: Micros, id: RequestId) {
+        let Some(open) = state.requests.get_mut(&id) else { return };
+        if let Some(sender) = open.reply.take() {
+            drop(sender.send(Reply::ClientClosed));
+            state.events.push_back(Event::ClientGone { id });
         }
         if open.in_flight.is_empty() {
-            core.remove_request(id);
+            state.remove_request(id);
         } else {
-            self.end_all_attempts(core, now, id, Outcome::Cancelled);
+            self.end_all_attempts(state, now, id, Outcome::Cancelled);
         }
     }
 }
 
+/// Returns the event that reports the end of an attempt to the decision module. `elapsed` is in microseconds.
 fn attempt_ended_event(
     id: RequestId,
     attempt: u8,
     backend: BackendId,
     elapsed: Micros,
-    settled: bool,
-    spent: bool,
-    f: Finish,
+    request_done: bool,
+    body_consumed: bool,
+    finish: Finish,
 ) -> Event {
     Event::AttemptEnded(AttemptResult {
         id,
         attempt: AttemptIndex(attempt),
         backend,
-        outcome: f.outcome,
+        outcome: finish.outcome,
         elapsed,
-        request_done: settled,
+        request_done,
         quota_use: None,
-        billed_units: f.billed,
-        load: f.load,
-        body_consumed: spent,
+        billed_units: finish.billed,
+        load: finish.load,
+        body_consumed,
     })
 }
--- a/node/src/figures.rs
+++ b/node/src/figures.rs
@@ -1,4 +1,4 @@
-//! What operators count: requests by how they ended, requests in work, bodies that ended too soon.
+//! Metrics for operators: finished requests by outcome, requests in progress, interrupted bodies.
 
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
 use crate::logging::LimitedLog;
@@ -9,16 +9,19 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// How a request ended; the place of its count.
+/// How a request ended. The discriminant is the index of its count.
 #[derive(Clone, Copy)]
 pub enum RequestOutcome {
+    /// It was answered by a backend.
     Passed,
+    /// It was refused; repeating it is safe.
     Dropped,
+    /// It was rejected as invalid, or it failed and a backend may have processed it.
     Failed,
 }
 
 impl RequestOutcome {
-    /// What a client takes an answer of this status for.
+    /// Returns the outcome that a client infers from the status of an answer.
     pub fn from_status(status: StatusCode) -> Self {
         match status {
             StatusCode::OK => RequestOutcome::Passed,
@@ -28,19 +31,21 @@
     }
 }
 
-/// Counts since this process began.
+/// Counts since this process started.
 pub struct Metrics {
+    /// The names of the classes, by index.
     class_names: Vec<String>,
+    /// Finished requests by class and outcome.
     request_counts: RefCell<Vec<[u64; 3]>>,
     in_progress: Cell<u64>,
     answers_interrupted: [Cell<u64>; AnswerInterruption::ALL.len()],
     uploads_interrupted: [Cell<u64>; UploadInterruption::ALL.len()],
     interruption_log: LimitedLog,
-    /// Why requests were refused and repeated, and connections closed.
+    /// The counts of refusals, repeats and closed connections by reason.
     pub reasons: Rc<ReasonCounts>,
 }
 
-/// A request in work, for as long as this lives.
+/// Counts a request as in progress until it is dropped.
 pub struct RequestInProgress(Rc<Metrics>);
 
 impl Drop for RequestInProgress {
@@ -50,12 +55,13 @@
 }
 
 impl Metrics {
-    pub fn new(module: &Config) -> Rc<Self> {
-        let classes: Vec<_> = module.classes.iter().map(|c| c.name.clone()).collect();
-        let ended = RefCell::new(vec![[0; 3]; classes.len()]);
+    /// Creates metrics for the classes of a configuration, with all counts at zero.
+    pub fn new(config: &Config) -> Rc<Self> {
+        let class_names: Vec<_> = config.classes.iter().map(|c| c.name.clone()).collect();
+        let request_counts = RefCell::new(vec![[0; 3]; class_names.len()]);
         Rc::new(Metrics {
-            class_names: classes,
-            request_counts: ended,
+            class_names,
+            request_counts,
             in_progress: Cell::new(0),
             answers_interrupted: Default::default(),
             uploads_interrupted: Default::default(),
@@ -64,55 +70,56 @@
         })
     }
 
-    /// A class's name, as the settings give it.
+    /// The name of a class in the settings.
     pub fn class_name(&self, class: ClassIndex) -> &str {
         self.class_names.get(usize::from(class.0)).map_or("unknown", String::as_str)
     }
 
-    /// Counts an answer that ended too soon, with a line for the log.
-    pub fn record_answer_interruption(&self, why: AnswerInterruption, line: &str) {
-        increment(&self.answers_interrupted[why as usize]);
+    /// Counts an answer that was interrupted, and writes `line` to the log.
+    pub fn record_answer_interruption(&self, reason: AnswerInterruption, line: &str) {
+        increment(&self.answers_interrupted[reason as usize]);
         self.interruption_log.line(line);
     }
 
-    /// Counts a request's body that ended too soon, with a line for the log.
-    pub fn record_upload_interruption(&self, why: UploadInterruption, line: &str) {
-        increment(&self.uploads_interrupted[why as usize]);
+    /// Counts an upload that was interrupted, and writes `line` to the log.
+    pub fn record_upload_interruption(&self, reason: UploadInterruption, line: &str) {
+        increment(&self.uploads_interrupted[reason as usize]);
         self.interruption_log.line(line);
     }
 
-    /// A request has come whole.
+    /// Counts a request as in progress until the returned value is dropped.
     pub fn start_request(self: &Rc<Self>) -> RequestInProgress {
         self.in_progress.set(self.in_progress.get() + 1);
         RequestInProgress(self.clone())
     }
 
-    /// Counts a request, once, where its final answer is settled.
-    pub fn record_request(&self, class: ClassIndex, ending: RequestOutcome) {
+    /// Counts a finished request. To be called once for each, when its outcome is certain.
+    pub fn record_request(&self, class: ClassIndex, outcome: RequestOutcome) {
         if let Some(counts) = self.request_counts.borrow_mut().get_mut(usize::from(class.0)) {
-            counts[ending as usize] += 1;
+            counts[outcome as usize] += 1;
         }
     }
 
-    /// All figures, with what the driver tells: backends listed, of these skipped, and attempts written whole.
-    pub fn report(&self, (known, skipped, tries): (usize, usize, u64)) -> Value {
-        let ended = self.request_counts.borrow();
-        let by_class = |ending: RequestOutcome| {
-            let counts = self.class_names.iter().zip(ended.iter());
-            counts.map(|(c, n)| (c.clone(), n[ending as usize].into())).collect::<Map<_, _>>()
+    /// Returns all metrics as JSON. The tuple holds the number of listed backends, how many of them get no new
+    /// requests, and the number of attempts written whole.
+    pub fn report(&self, (known_backends, skipped_backends, upstream_tries): (usize, usize, u64)) -> Value {
+        let request_counts = self.request_counts.borrow();
+        let by_class = |outcome: RequestOutcome| {
+            let pairs = self.class_names.iter().zip(request_counts.iter());
+            pairs.map(|(name, counts)| (name.clone(), counts[outcome as usize].into())).collect::<Map<_, _>>()
         };
-        let answers = AnswerInterruption::ALL.map(|why| why.name());
-        let uploads = UploadInterruption::ALL.map(|why| why.name());
+        let answer_reasons = AnswerInterruption::ALL.map(|reason| reason.name());
+        let upload_reasons = UploadInterruption::ALL.map(|reason| reason.name());
         json!({
             "passed": by_class(RequestOutcome::Passed),
             "dropped": by_class(RequestOutcome::Dropped),
             "bad_gateway": by_class(RequestOutcome::Failed),
-            "upstream_tries": tries,
+            "upstream_tries": upstream_tries,
             "in_progress": self.in_progress.get(),
-            "known_backends": known,
-            "skipped_backends": skipped,
-            "answers_interrupted": by_name(&answers, &self.answers_interrupted),
-            "uploads_interrupted": by_name(&uploads, &self.uploads_interrupted),
+            "known_backends": known_backends,
+            "skipped_backends": skipped_backends,
+            "answers_interrupted": by_name(&answer_reasons, &self.answers_interrupted),
+            "uploads_interrupted": by_name(&upload_reasons, &self.uploads_interrupted),
             "refused_by_reason": self.reasons.refused_report(),
             "repeated_by_reason": self.reasons.repeated_report(),
             "closed_by_reason": self.reasons.closed_report(),
@@ -121,10 +128,12 @@
     }
 }
 
+/// Adds one to a count.
 fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
 
+/// Returns counts as a map from their names.
 fn by_name(names: &[&str], counts: &[Cell<u64>]) -> Map<String, Value> {
     let pairs = names.iter().zip(counts);
     pairs.map(|(name, count)| ((*name).to_owned(), count.get().into())).collect()
--- a/node/src/guard.rs
+++ b/node/src/guard.rs
@@ -1,8 +1,9 @@
-//! The last check before a step that can't be taken back: sending, repeating, closing, starting.
+//! Runtime invariant checks right before steps that cannot be undone: sending a request, repeating it, closing a
+//! client's connection, and reporting readiness.
 //!
-//! The rules are kept by the decisions and by the code that carries them out. A guard looks at the same facts once
-//! more, in one place, right before the step. Where it has to refuse, this program has a fault: the step is not taken,
-//! counted and logged, and the process goes on.
+//! The decision module and the code that carries out its decisions keep these rules themselves. The guard checks the
+//! same facts again, in one place, immediately before the step. A violation means that this program has a fault: the
+//! step is not taken, the violation is counted and logged, and the process goes on.
 
 use crate::logging::LimitedLog;
 use caperwind::{Effect, Micros, Outcome};
@@ -10,38 +11,38 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// The time told to a backend may be so much more than is left: it is rounded up to a millisecond.
+/// By how much the time announced to a backend may exceed the time left, as it is rounded up to a millisecond.
 const ANNOUNCED_TIME_SLACK: Duration = Duration::from_millis(2);
 
-/// A step that breaks a rule.
+/// A violated invariant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Sending: the client has closed its connection.
     SendForClosedClient,
-    /// Sending: the backend drains, is gone, elsewhere, or out by hand.
+    /// Sending: the backend is draining, gone, at another address, or disabled by an operator.
     SendToUnwantedBackend,
     /// Sending: no time is left.
     SendAfterDeadline,
-    /// Sending: the backend would be told more time than is left.
+    /// Sending: the time announced to the backend exceeds the time left.
     SendWithTooMuchTime,
-    /// Repeating: an attempt before it may have run, and the class does not allow another.
+    /// Repeating: a backend may have processed an earlier attempt, and the class does not allow repeats.
     RepeatOfUnsafe,
-    /// Repeating: an attempt before it may have run, and the window for another is over.
+    /// Repeating: a backend may have processed an earlier attempt, and the time window for repeats has passed.
     RepeatAfterWindow,
-    /// Repeating: there have been as many attempts as are allowed.
+    /// Repeating: the maximum number of attempts has been made.
     TooManyAttempts,
-    /// Repeating: another attempt is out, and the settings allow one.
+    /// Repeating: another attempt is in flight, and hedging is disabled.
     SecondCopy,
-    /// Closing: the connection's request has been read, and has no answer.
+    /// Closing: the request on the connection has been read and has no answer.
     CloseOverRequest,
-    /// Starting: the process would call itself ready with no list of backends, or while it ends.
+    /// Readiness: the process would report itself ready while it does not accept connections or is shutting down.
     ReadyTooSoon,
-    /// A task that has to last has panicked.
+    /// A task that must run as long as the process has panicked.
     TaskPanicked,
 }
 
 impl Violation {
-    /// All of them, in the order of their discriminants.
+    /// All violations, in the order of their discriminants.
     pub const ALL: [Self; 11] = [
         Self::SendForClosedClient,
         Self::SendToUnwantedBackend,
@@ -56,7 +57,7 @@
         Self::TaskPanicked,
     ];
 
-    /// Its name in logs and metrics.
+    /// The name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::SendForClosedClient => "send_for_closed_client",
@@ -74,21 +75,21 @@
     }
 }
 
-/// What holds as an attempt is about to be written.
+/// The facts checked right before a request is written to a backend.
 #[derive(Clone, Copy, Debug)]
 pub struct SendFacts {
-    /// The client has closed its connection.
+    /// Whether the client has closed its connection.
     pub client_closed: bool,
-    /// The backend is in service, and the connection leads to it.
+    /// Whether the backend is in service and the connection leads to it.
     pub backend_in_service: bool,
-    /// What is left of the request's time.
+    /// The time left until the request's deadline.
     pub time_left: Duration,
-    /// The time that the backend is told.
+    /// The time limit that the request header announces to the backend.
     pub announced_time: Duration,
 }
 
 impl SendFacts {
-    /// Whether the attempt may be written.
+    /// Returns the violation if the request must not be written.
     pub fn check(&self) -> Result<(), Violation> {
         if self.client_closed {
             return Err(Violation::SendForClosedClient);
@@ -106,38 +107,39 @@
     }
 }
 
-/// An attempt that has been made.
+/// An attempt that was begun earlier.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
-    /// When it was begun.
+    /// When the attempt was begun.
     pub started_at: Micros,
-    /// How it ended; `None` while it is out.
+    /// How the attempt ended; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
 impl EarlierAttempt {
+    /// Whether the backend may have processed the request.
     fn may_have_run(&self) -> bool {
         !matches!(self.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
     }
 }
 
-/// What holds as an attempt is about to be begun.
+/// The facts checked right before an attempt is begun.
 #[derive(Clone, Copy, Debug)]
 pub struct RepeatFacts<'a> {
-    /// What may be done with requests of its class.
+    /// Whether requests of the class may be repeated.
     pub effect: Effect,
-    /// The attempts before it.
+    /// The earlier attempts of the request.
     pub earlier: &'a [EarlierAttempt],
-    /// Now.
+    /// The current time.
     pub now: Micros,
-    /// Attempts that a request may have.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Whether two may be out.
+    /// Whether two attempts may be in flight at the same time.
     pub hedging: bool,
 }
 
 impl RepeatFacts<'_> {
-    /// Whether the attempt may be begun.
+    /// Returns the violation if the attempt must not be begun.
     pub fn check(&self) -> Result<(), Violation> {
         if self.earlier.len() >= self.max_attempts as usize {
             return Err(Violation::TooManyAttempts);
@@ -145,17 +147,17 @@
         if !self.hedging && self.earlier.iter().any(|a| a.outcome.is_none()) {
             return Err(Violation::SecondCopy);
         }
-        let Some(ran) = self.earlier.iter().find(|a| a.may_have_run()) else { return Ok(()) };
+        let Some(earlier) = self.earlier.iter().find(|a| a.may_have_run()) else { return Ok(()) };
         match self.effect {
             Effect::Pure => Ok(()),
             Effect::Unsafe => Err(Violation::RepeatOfUnsafe),
-            Effect::Keyed { window, .. } if self.now < ran.started_at.saturating_add(window) => Ok(()),
+            Effect::Keyed { window, .. } if self.now < earlier.started_at.saturating_add(window) => Ok(()),
             Effect::Keyed { .. } => Err(Violation::RepeatAfterWindow),
         }
     }
 }
 
-/// Counts and logs the steps that were refused.
+/// Counts and logs violations.
 #[derive(Default)]
 pub struct Guard {
     counts: [Cell<u64>; Violation::ALL.len()],
@@ -163,19 +165,19 @@
 }
 
 impl Guard {
-    /// Takes in that a step was refused, and what it was.
-    pub fn record(&self, violation: Violation, what: &str) {
+    /// Counts a violation and logs it with a description of the refused step.
+    pub fn record(&self, violation: Violation, step: &str) {
         let count = &self.counts[violation as usize];
         count.set(count.get() + 1);
-        self.log.line(&format!("guard: {}: {what}", violation.name()));
+        self.log.line(&format!("guard: {}: {step}", violation.name()));
     }
 
-    /// How often it was refused since the start.
+    /// The number of times that a violation has occurred since the process started.
     pub fn count(&self, violation: Violation) -> u64 {
         self.counts[violation as usize].get()
     }
 
-    /// All counts by name.
+    /// The counts of all violations by name.
     pub fn report(&self) -> Map<String, Value> {
         Violation::ALL.iter().map(|v| (v.name().to_owned(), self.count(*v).into())).collect()
     }
--- a/node/src/reasons.rs
+++ b/node/src/reasons.rs
@@ -1,26 +1,26 @@
-//! Why requests are refused and attempts repeated, and why clients' connections end: counted by reason, and told of each
-//! request at the log's `debug` level.
+//! Reasons of refused requests, repeated attempts and closed client connections: counted by reason, and logged for
+//! each request at level `debug`.
 
 use caperwind::{Outcome, RefusalReason, SendReason};
 use serde_json::{Map, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Why this side refused a request.
+/// Why this process refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RefusalCause {
-    /// The decisions say so.
+    /// The decision module refused it.
     Decided(RefusalReason),
-    /// As many requests are open as may be.
+    /// The maximum number of requests is open.
     TooManyOpen,
-    /// Bodies take all the memory that they may.
+    /// The memory budget for bodies is used up.
     BodiesFull,
 }
 
 impl RefusalCause {
     fn name(self) -> &'static str {
         match self {
-            RefusalCause::Decided(why) => why.name(),
+            RefusalCause::Decided(reason) => reason.name(),
             RefusalCause::TooManyOpen => "too_many_open",
             RefusalCause::BodiesFull => "bodies_full",
         }
@@ -30,23 +30,23 @@
 /// Why a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its client closed it, or what came could not be read as HTTP.
+    /// The client closed it or sent invalid HTTP.
     Client,
-    /// An answer was the last one on it.
+    /// An answer carried `Connection: close`.
     LastAnswer,
-    /// Nothing was asked on it for long.
+    /// No request came within the idle timeout.
     Idle,
-    /// Operators drain this process.
+    /// An operator is draining this process.
     Draining,
-    /// This process ends.
+    /// This process is shutting down.
     Ending,
-    /// It made way for another one.
+    /// It was evicted in favour of another connection.
     MadeWay,
-    /// Its request came too slowly.
+    /// The request was received too slowly.
     RequestTooSlow,
-    /// Its client was seen to have gone while its request waited.
+    /// The client closed it while a request was waiting for its answer.
     ClientLeft,
-    /// Its client took nothing of an answer.
+    /// The client stopped reading an answer.
     ClientStopped,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// An attempt's outcome as logs and metrics name it.
+/// The name of an attempt's outcome in logs and metrics.
 pub fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
@@ -80,31 +80,32 @@
     }
 }
 
-fn send_reason_name(why: SendReason) -> &'static str {
-    match why {
+/// The name of the reason for an attempt in logs and metrics.
+fn send_reason_name(reason: SendReason) -> &'static str {
+    match reason {
         SendReason::First => "first",
         SendReason::Retry(outcome) => outcome_name(outcome),
         SendReason::Hedge => "hedge",
     }
 }
 
-/// Counts under names, of which those that have come up are told.
+/// Counts by name. Only names that have been counted are reported.
 #[derive(Default)]
 pub struct CountsByName(RefCell<BTreeMap<&'static str, u64>>);
 
 impl CountsByName {
-    /// Counts one more.
+    /// Increments the count of `name`.
     pub fn count(&self, name: &'static str) {
         *self.0.borrow_mut().entry(name).or_default() += 1;
     }
 
-    /// All counts.
+    /// Returns all counts.
     pub fn report(&self) -> Map<String, Value> {
         self.0.borrow().iter().map(|(name, n)| ((*name).to_owned(), (*n).into())).collect()
     }
 }
 
-/// Counts since the process began.
+/// The counts by reason since the process started.
 #[derive(Default)]
 pub struct ReasonCounts {
     refused: CountsByName,
@@ -113,37 +114,47 @@
 }
 
 impl ReasonCounts {
-    /// A request was refused.
-    pub fn record_refusal(&self, request: &str, why: RefusalCause) {
-        self.refused.count(why.name());
-        log::debug!("request {request:?} refused: {}", why.name());
+    /// Counts and logs a refused request.
+    pub fn record_refusal(&self, request: &str, reason: RefusalCause) {
+        self.refused.count(reason.name());
+        log::debug!("request {request:?} refused: {}", reason.name());
     }
 
-    /// An attempt of a request is begun; the first one is none of those that repeat it.
-    pub fn record_attempt(&self, request: &str, attempt: u8, backend: &dyn std::fmt::Debug, why: SendReason) {
-        if why != SendReason::First {
-            self.repeated.count(send_reason_name(why));
+    /// Logs an attempt that is begun, and counts it unless it is the first one of its request.
+    pub fn record_attempt(
+        &self,
+        request: &str,
+        attempt: u8,
+        backend: &dyn std::fmt::Debug,
+        reason: SendReason,
+    ) {
+        if reason != SendReason::First {
+            self.repeated.count(send_reason_name(reason));
         }
-        log::debug!("request {request:?} attempt {attempt} to {backend:?}: {}", send_reason_name(why));
+        log::debug!("request {request:?} attempt {attempt} to {backend:?}: {}", send_reason_name(reason));
     }
 
-    /// A client's connection has ended, after so many requests.
-    pub fn record_close(&self, connection: u64, requests: u64, last: Option<&str>, why: CloseReason) {
-        self.closed.count(why.name());
-        log::debug!("connection {connection} closed: {}; {requests} requests, the last {last:?}", why.name());
+    /// Counts and logs a client connection that has ended, with its number of requests and the correlation id of the
+    /// last.
+    pub fn record_close(&self, connection: u64, requests: u64, last: Option<&str>, reason: CloseReason) {
+        self.closed.count(reason.name());
+        log::debug!(
+            "connection {connection} closed: {}; {requests} requests, the last {last:?}",
+            reason.name()
+        );
     }
 
-    /// Refusals by reason.
+    /// The counts of refused requests by reason.
     pub fn refused_report(&self) -> Map<String, Value> {
         self.refused.report()
     }
 
-    /// Further attempts, by how the one before ended; `hedge` beside one that is out.
+    /// The counts of repeated attempts by the outcome of the attempt before; `hedge` for a hedged attempt.
     pub fn repeated_report(&self) -> Map<String, Value> {
         self.repeated.report()
     }
 
-    /// Ends of clients' connections by reason.
+    /// The counts of closed client connections by reason.
     pub fn closed_report(&self) -> Map<String, Value> {
         self.closed.report()
     }
