--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -1,4 +1,4 @@
-//! The client side: connections, how long they may take, and which of them make way.
+//! Client connections: accepting and serving them, their timeouts, and the eviction of connections at the limit.
 
 mod connection;
 mod handler;
@@ -31,39 +31,42 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A client that has taken nothing of its answer for so long is let go.
+/// A connection is closed if its client has read nothing of a pending answer for this long.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// A connection on which nothing is asked for longer is closed.
+/// A connection without a request is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Connections are looked over this often, and while a request waits: the end of its client's connection is told
-/// at once by itself, this is for where it is not.
+/// How often all connections are checked, and how often while a request waits for its answer. Usually the runtime
+/// reports at once that a waiting client has closed its connection; the checks find the cases that it does not
+/// report.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 const WATCH_INTERVAL_WAITING: Duration = Duration::from_millis(40);
-/// In a drain, connections are closed by an answer at first, and those that are idle after so long at once:
-/// by 2 s, so that no request taken later is in work at 4 s. One that has just come may be about to ask.
+/// During a drain, connections close after their next answer; after this time, idle ones are closed as well, except
+/// new ones that may be about to send a request. They are to be closed by 2 s, so that no request taken later is
+/// still in progress at 4 s.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
-/// How often, and how long each time, a new connection waits for another to make way: for longer in all than a head
-/// may take before it makes way.
+/// How often and how long each time a new connection waits for room. In total, this is longer than a connection may
+/// take to send a request head before it can be evicted.
 const MAX_ROOM_WAITS: u32 = 40;
 const ROOM_WAIT: Duration = Duration::from_millis(10);
 
-/// All client connections.
+/// The server for client connections.
 pub struct Server {
     driver: Driver,
     metrics: Rc<Metrics>,
     max_connections: Cell<usize>,
-    /// It accepts; and another process of this gateway does when this one no longer does.
+    /// Whether this process accepts connections, and whether another process of this gateway goes on after it.
     accepting: Cell<bool>,
     successor_serving: Cell<bool>,
     body_budget: Budget,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
     next_id: Cell<u64>,
+    /// Notified when a connection is closed.
     connection_closed: Notify,
-    /// A request has begun to wait.
+    /// Notified when a request begins to wait for its answer.
     request_waiting: Notify,
 }
 
-/// A connection's place among them, given up when its task ends in whatever way.
+/// The registration of a connection with the server, removed when the connection's task ends in whatever way.
 struct Registration(Rc<Server>, u64);
 
 impl Drop for Registration {
@@ -77,73 +80,83 @@
     }
 }
 
-/// A connection that was accepted apart from the runtime.
+/// Passes a socket that was accepted without the runtime to the runtime.
 fn into_stream(socket: Socket) -> io::Result<TcpStream> {
     socket.set_nonblocking(true)?;
     TcpStream::from_std(socket.into())
 }
 
 impl Server {
-    pub fn new(driver: Driver, figures: Rc<Metrics>, most: usize, bodies: Budget) -> Rc<Self> {
-        let (connections, next) = (RefCell::default(), Cell::new(0));
-        let (left, waits) = (Notify::new(), Notify::new());
-        let (most, open, succeeded) = (Cell::new(most), Cell::new(false), Cell::new(false));
+    /// Creates a server that holds at most `max_connections` connections and takes the memory for bodies from
+    /// `body_budget`.
+    pub fn new(
+        driver: Driver,
+        metrics: Rc<Metrics>,
+        max_connections: usize,
+        body_budget: Budget,
+    ) -> Rc<Self> {
+        let (connections, next_id) = (RefCell::default(), Cell::new(0));
+        let (connection_closed, request_waiting) = (Notify::new(), Notify::new());
+        let (max_connections, accepting, successor_serving) =
+            (Cell::new(max_connections), Cell::new(false), Cell::new(false));
         Rc::new(Server {
             driver,
-            metrics: figures,
-            max_connections: most,
-            accepting: open,
-            successor_serving: succeeded,
-            body_budget: bodies,
+            metrics,
+            max_connections,
+            accepting,
+            successor_serving,
+            body_budget,
             connections,
-            next_id: next,
-            connection_closed: left,
-            request_waiting: waits,
+            next_id,
+            connection_closed,
+            request_waiting,
         })
     }
 
+    /// Whether no connection is open.
     pub fn has_no_connections(&self) -> bool {
         self.connections.borrow().is_empty()
     }
 
-    /// From now on holds so many connections at most, as far as others can make way.
-    pub fn set_max_connections(&self, most: usize) {
-        self.max_connections.set(most);
+    /// Sets the maximum number of connections. Connections above it are evicted as soon as that is possible.
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
     }
 
-    /// Whether an answer is on its way.
+    /// Whether an answer is being sent on any connection.
     pub fn is_answering(&self) -> bool {
         self.connections.borrow().values().any(|c| c.is_answering())
     }
 
-    /// Ends the answers that are not known to be long and of which nothing has come for so long: they never may end.
-    /// A long one goes on for as long as its backend sends, and its client may take it slowly.
-    pub fn abort_stalled_answers(&self, for_long: Duration) {
+    /// Aborts the answers that are not known to be long and of which the backend has sent nothing for `stall_time`:
+    /// they may never end. A long answer goes on for as long as its backend sends, and its client may read it slowly.
+    pub fn abort_stalled_answers(&self, stall_time: Duration) {
         let connections = self.connections.borrow();
-        let unproven = connections.values().filter(|c| !c.answer_is_long());
-        unproven.filter(|c| c.answer_stalled(for_long)).for_each(|c| c.abort(AbortReason::ProcessEnded));
+        let not_long = connections.values().filter(|c| !c.answer_is_long());
+        not_long.filter(|c| c.answer_stalled(stall_time)).for_each(|c| c.abort(AbortReason::ProcessEnded));
     }
 
-    /// Connections held.
+    /// The number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Another process of this gateway serves from now on.
+    /// Records that another process of this gateway serves from now on.
     pub fn set_successor_serving(&self) {
         self.successor_serving.set(true);
     }
 
-    /// Closes what has been between requests for so long; what has begun gets its answer, and goes then.
-    pub fn close_idle(&self, for_long: Duration, why: CloseReason) {
+    /// Closes the connections that have had no request for `min_idle`. One on which a request has begun gets its
+    /// answer first.
+    pub fn close_idle(&self, min_idle: Duration, reason: CloseReason) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|c| matches!(c.phase(), Phase::New | Phase::Idle));
-        let idle = idle.filter(|c| c.phase_age() >= for_long.max(NEXT_REQUEST_GRACE));
+        let idle = idle.filter(|c| c.phase_age() >= min_idle.max(NEXT_REQUEST_GRACE));
         let idle = idle.filter(|c| !c.is_answering() && c.nothing_received());
-        idle.for_each(|c| c.close_gracefully(why));
+        idle.for_each(|c| c.close_gracefully(reason));
     }
 
-    /// Closes each connection that an answer is on its way on, once that is written.
+    /// Closes each connection on which an answer is being sent, once the answer is written.
     pub fn close_after_answers(&self) {
         let connections = self.connections.borrow();
         connections
@@ -152,18 +165,18 @@
             .for_each(|c| c.close_gracefully(CloseReason::Ending));
     }
 
-    /// Accepts until it is told that it was the last. Danger: a connection that has come is owed an answer, also
-    /// one that waits for its place or in the listener's line, which ends with the listener: it is emptied, unless
-    /// another process goes on with it.
-    pub async fn accept(self: Rc<Self>, listener: &TcpListener, mut last: watch::Receiver<bool>) {
-        let troubles = LimitedLog::new(1);
+    /// Accepts connections until `stop` is true. Connections in the listen queue would be reset when the listener is
+    /// closed, so the queue is emptied first, unless another process goes on with it. A connection that waits for
+    /// room is served, too.
+    pub async fn accept(self: Rc<Self>, listener: &TcpListener, mut stop: watch::Receiver<bool>) {
+        let failure_log = LimitedLog::new(1);
         self.accepting.set(true);
         loop {
-            let stops = *last.borrow();
-            let come = if stops && self.successor_serving.get() {
+            let stopping = *stop.borrow();
+            let accepted = if stopping && self.successor_serving.get() {
                 return;
-            } else if stops {
-                // The runtime may not have been told yet of one that the kernel holds: the kernel is asked.
+            } else if stopping {
+                // The runtime may not know yet of a connection in the listen queue, so the kernel is asked directly.
                 match SockRef::from(listener).accept() {
                     Ok((socket, _)) => into_stream(socket),
                     Err(e) if e.kind() == io::ErrorKind::WouldBlock => return,
@@ -171,27 +184,29 @@
                 }
             } else {
                 tokio::select! {
-                    come = listener.accept() => come.map(|(stream, _)| stream),
-                    _ = last.changed() => continue,
+                    accepted = listener.accept() => accepted.map(|(stream, _)| stream),
+                    _ = stop.changed() => continue,
                 }
             };
-            let trouble = match come {
+            let failure = match accepted {
                 Ok(stream) if self.wait_for_room().await => {
                     self.spawn_connection(stream);
                     continue;
                 }
-                Ok(_) => "no connection can make way".to_owned(),
-                // Out of descriptors, or the peer is gone already: a short pause, then again.
+                Ok(_) => "new connection closed: the connection limit is reached and no other can be evicted"
+                    .to_owned(),
+                // The process is out of descriptors, or the client has gone already: retry after a short pause.
                 Err(e) => {
                     sleep(ROOM_WAIT).await;
-                    e.to_string()
+                    format!("cannot accept a connection: {e}")
                 }
             };
-            troubles.line(&format!("accept: {trouble}"));
+            failure_log.line(&format!("accept: {failure}"));
         }
     }
 
-    /// Waits for a place, which another may have to leave: the bound holds at every moment.
+    /// Waits for room for a new connection and evicts others for it, so that the limit is never exceeded. Returns
+    /// whether there is room.
     async fn wait_for_room(&self) -> bool {
         for _ in 0..MAX_ROOM_WAITS {
             if self.connections.borrow().len() < self.max_connections.get() {
@@ -203,20 +218,23 @@
         self.connections.borrow().len() < self.max_connections.get()
     }
 
-    /// The one that is missed least leaves: the silent before the idle, these before the slow. Danger: one that was
-    /// told before may still be held up by an answer that its client does not take; it must not hold up the rest. And
-    /// one that has just come may be about to ask; where these are many, they are soon silent, and nobody else leaves.
+    /// Evicts one connection if possible: one without any data first, then an idle one, then one with a slow request.
+    /// Connections that have been evicted before are skipped: one stays open until its client reads its last answer,
+    /// and must not block the eviction of others. New connections are spared because they may be about to send a
+    /// request. If they are at least as many as the candidates, only a connection without data is evicted: soon some
+    /// of the new ones will be such.
     fn evict_one(&self) {
         let (connections, now) = (self.connections.borrow(), Instant::now());
-        let stay = connections.values().filter(|c| !c.evicted.get());
-        let mut line: Vec<_> = stay.filter_map(|c| Some((c.eviction_rank(now)?, c.since(), c))).collect();
-        line.sort_by_key(|(rank, since, _)| (*rank, *since));
-        let others = line.len();
-        let begun = |rank| matches!(rank, EvictionRank::SlowHead | EvictionRank::SlowBody);
-        let leaves = line.into_iter().find(|(rank, _, c)| begun(*rank) || c.nothing_received());
-        let fresh = connections.values().filter(|c| c.is_fresh(now)).count();
+        let remaining = connections.values().filter(|c| !c.evicted.get());
+        let mut candidates: Vec<_> =
+            remaining.filter_map(|c| Some((c.eviction_rank(now)?, c.phase_began(), c))).collect();
+        candidates.sort_by_key(|(rank, phase_began, _)| (*rank, *phase_began));
+        let candidate_count = candidates.len();
+        let is_slow = |rank| matches!(rank, EvictionRank::SlowHead | EvictionRank::SlowBody);
+        let evictable = candidates.into_iter().find(|(rank, _, c)| is_slow(*rank) || c.nothing_received());
+        let fresh_count = connections.values().filter(|c| c.is_fresh(now)).count();
         let Some((rank, _, client)) =
-            leaves.filter(|(rank, ..)| *rank == EvictionRank::Silent || fresh < others)
+            evictable.filter(|(rank, ..)| *rank == EvictionRank::Silent || fresh_count < candidate_count)
         else {
             return;
         };
@@ -227,23 +245,23 @@
         }
     }
 
-    /// Looks the connections over, for as long as the program runs.
+    /// Checks all connections periodically and closes those that exceed a timeout. Never returns.
     pub async fn watch_connections(self: Rc<Self>) {
-        let mut drained: Option<Instant> = None;
+        let mut drain_began: Option<Instant> = None;
         loop {
-            let waiting = || self.connections.borrow().values().any(|c| c.awaits_answer());
-            if waiting() || timeout(WATCH_INTERVAL, self.request_waiting.notified()).await.is_ok() {
+            let any_waiting = || self.connections.borrow().values().any(|c| c.awaits_answer());
+            if any_waiting() || timeout(WATCH_INTERVAL, self.request_waiting.notified()).await.is_ok() {
                 sleep(WATCH_INTERVAL_WAITING).await;
             }
-            drained = self.driver.draining().then(|| drained.unwrap_or_else(Instant::now));
-            if drained.is_some_and(|at| at.elapsed() >= DRAIN_GRACE) {
+            drain_began = self.driver.draining().then(|| drain_began.unwrap_or_else(Instant::now));
+            if drain_began.is_some_and(|at| at.elapsed() >= DRAIN_GRACE) {
                 self.close_idle(NEXT_REQUEST_GRACE, CloseReason::Draining);
             }
             for _ in self.max_connections.get()..self.connections.borrow().len() {
                 self.evict_one();
             }
             for client in self.connections.borrow().values() {
-                let age = client.phase_age();
+                let phase_age = client.phase_age();
                 match client.phase() {
                     Phase::New | Phase::ReceivingHead | Phase::ReceivingBody if client.request_overdue() => {
                         client.abort(AbortReason::RequestTooSlow)
@@ -258,10 +276,10 @@
                         client.abort(AbortReason::ClientStopped)
                     }
                     Phase::Idle if !client.nothing_read() => client.enter_phase(Phase::ReceivingHead),
-                    // The end of an answer that its client takes slowly is still on its way.
+                    // The end of an answer is still to be written to a slow client.
                     Phase::Idle if client.is_answering() => {}
-                    Phase::Idle if age >= 2 * IDLE_TIMEOUT => client.abort(AbortReason::ClientStopped),
-                    Phase::Idle if age >= IDLE_TIMEOUT && client.meter.quiet() => {
+                    Phase::Idle if phase_age >= 2 * IDLE_TIMEOUT => client.abort(AbortReason::ClientStopped),
+                    Phase::Idle if phase_age >= IDLE_TIMEOUT && client.meter.quiet() => {
                         client.close_gracefully(CloseReason::Idle)
                     }
                     _ => {}
@@ -270,6 +288,7 @@
         }
     }
 
+    /// Registers a connection and serves it in its own task.
     fn spawn_connection(self: &Rc<Self>, stream: TcpStream) {
         if stream.set_nodelay(true).is_err() {
             return;
@@ -277,22 +296,23 @@
         let id = self.next_id.replace(self.next_id.get() + 1);
         let client = ClientConnection::new(stream, self.driver.guard().clone());
         self.connections.borrow_mut().insert(id, client.clone());
-        let (server, here, registration) = (self.clone(), client.clone(), Registration(self.clone(), id));
+        let (server, served, registration) = (self.clone(), client.clone(), Registration(self.clone(), id));
         let task = tokio::task::spawn_local(async move {
             let _registration = registration;
-            server.serve_connection(&here).await;
+            server.serve_connection(&served).await;
         });
         client.set_serving_task(task.abort_handle());
     }
 
+    /// Serves the requests on a connection until it ends.
     async fn serve_connection(self: &Rc<Self>, client: &Rc<ClientConnection>) {
         let service = service_fn(|request| {
             let (server, client) = (self.clone(), client.clone());
             async move {
                 let mut answer = server.answer(request, &client).await;
-                let flows = matches!(answer.body(), Either::Right(_));
+                let streamed = matches!(answer.body(), Either::Right(_));
                 client.begin_answer();
-                client.enter_phase(if flows { Phase::Responding } else { Phase::Idle });
+                client.enter_phase(if streamed { Phase::Responding } else { Phase::Idle });
                 if server.driver.shutting_down() || server.driver.draining() || client.meter.skipped() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
@@ -301,28 +321,28 @@
             }
         });
         let mut http = http1::Builder::new();
-        // Times are kept by `watch`, over all connections at once.
+        // `watch_connections` enforces the timeouts of all connections.
         http.header_read_timeout(None).max_buf_size(HEAD_BYTES);
         let mut conn = pin!(http.serve_connection(TokioIo::new(Metered(client.meter.clone())), service));
-        let mut departure = pin!(self.wait_for_client_close(client));
-        let mut told = false;
+        let mut client_closed = pin!(self.wait_for_client_close(client));
+        let mut shutdown_requested = false;
         loop {
             tokio::select! {
-                // The phase goes by what the connection does: it comes first.
+                // The connection sets the phase that `wait_for_client_close` depends on, so it is polled first.
                 biased;
-                // An error here is the client's: it broke off or sent no HTTP.
+                // An error here is caused by the client: it closed the connection or sent invalid HTTP.
                 _ = conn.as_mut() => return,
-                () = departure.as_mut() => return,
-                () = client.close_requested.notified(), if !told => {
-                    told = true;
+                () = client_closed.as_mut() => return,
+                () = client.close_requested.notified(), if !shutdown_requested => {
+                    shutdown_requested = true;
                     conn.as_mut().graceful_shutdown();
                 }
             }
         }
     }
 
-    /// Waits until the client closes its connection while its request waits. Danger: the library reads no
-    /// further than that request; of whose client has left is then sent on for nobody.
+    /// Waits until the client closes its connection while its request waits. The HTTP library does not read beyond
+    /// the request and would not notice it, so that requests without a client would be sent to backends.
     async fn wait_for_client_close(&self, client: &ClientConnection) {
         let mut closed = pin!(client.meter.closed());
         poll_fn(|cx| match client.phase() {
@@ -333,30 +353,33 @@
         .await
     }
 
-    /// Whether this process serves and goes on to.
+    /// Whether this process serves clients and will go on to do so.
     pub fn is_ready(&self) -> bool {
         let ready = self.accepting.get()
             && self.driver.has_backend_list()
             && !self.driver.shutting_down()
             && !self.driver.draining();
-        let too_soon = ready && (!self.accepting.get() || self.driver.shutting_down());
-        if too_soon {
-            self.driver.guard().record(Violation::ReadyTooSoon, "asked by an operator");
+        let not_serving = ready && (!self.accepting.get() || self.driver.shutting_down());
+        if not_serving {
+            self.driver.guard().record(Violation::ReadyTooSoon, "readiness reported to an operator");
         }
-        ready && !too_soon
+        ready && !not_serving
     }
 
-    /// Looks for requests that the end of the process leaves without an answer.
+    /// Reports to the guard the requests that the end of the process leaves without an answer.
     pub fn check_unanswered_requests(&self) {
         for client in self.connections.borrow().values().filter(|c| c.phase() == Phase::Processing) {
-            let (_, last) = client.requests();
-            self.driver.guard().record(Violation::CloseOverRequest, &format!("request {last:?}, at the end"));
+            let (_, correlation_id) = client.requests();
+            self.driver.guard().record(
+                Violation::CloseOverRequest,
+                &format!("request {correlation_id:?} unanswered as the process ends"),
+            );
         }
     }
 
-    /// Whether clients are wanted at this address: another process may serve there when this one ends.
+    /// Whether clients should use this address: when this process ends, another one may serve there.
     fn serving(&self) -> bool {
-        let goes_on = !self.driver.shutting_down() || self.successor_serving.get();
-        self.driver.has_backend_list() && goes_on && !self.driver.draining()
+        let continues = !self.driver.shutting_down() || self.successor_serving.get();
+        self.driver.has_backend_list() && continues && !self.driver.draining()
     }
 }
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: what it is doing, and how long it may take for that.
+//! A client connection: its phase, its timeouts and its eviction rank.
 
 use crate::body::answer_limit::{Extent, STALL_TIMEOUT};
 use crate::body::download::Progress;
@@ -15,65 +15,66 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A whole request must have come this long after the connection or, on a later one, its first byte; a long one
-/// has more time by its bytes. Heads may take 2 s and bodies come at 64 kB/s; 3 s is for none that is not whole.
+/// A request must have been received this long after its connection was opened or, for a later request, after its
+/// first byte; a long one has more time in proportion to its bytes. Clients may take 2 s to send a head and send
+/// bodies at 64 kB/s; an incomplete request must not hold its connection for 3 s.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_400);
-/// The slowest that a body may come, in bytes a second.
+/// The minimum rate of a request body, in bytes per second.
 const MIN_UPLOAD_RATE: f64 = 40_000.0;
-/// A request that takes longer than this to come gives way where connections run short.
+/// A connection whose request takes longer than this to arrive can be evicted at the connection limit.
 const SLOW_REQUEST_AGE: Duration = Duration::from_millis(300);
-/// An answer that was given less than this ago may still be on its way.
+/// An answer younger than this may still be on its way to the client.
 const ANSWER_SETTLE_TIME: Duration = Duration::from_millis(20);
-/// One that has just come may be about to ask.
+/// A connection that has been open or idle for less than this may be about to send a request.
 pub const NEXT_REQUEST_GRACE: Duration = Duration::from_millis(50);
 
-/// What a client's connection is doing.
+/// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// No whole request has come yet.
+    /// The connection is new, and no request head has been received completely.
     New,
-    /// A later request has begun to come.
+    /// A later request has begun to arrive.
     ReceivingHead,
-    /// A request was let in whose body is still coming.
+    /// A request was admitted, and its body is still being received.
     ReceivingBody,
-    /// A request is in work.
+    /// A request has been received completely and waits for its answer.
     Processing,
-    /// An answer is on its way.
+    /// The answer of a backend is being streamed to the client.
     Responding,
-    /// Between requests.
+    /// The connection is between requests.
     Idle,
 }
 
-/// Which connections make way first, where they run short.
+/// The order in which connections are evicted at the connection limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum EvictionRank {
-    /// It has said nothing.
+    /// No byte has been received.
     Silent,
-    /// It is between requests.
+    /// The connection is between requests.
     Idle,
-    /// The head of its request comes slowly.
+    /// The request head arrives slowly.
     SlowHead,
-    /// The body of its request comes slowly.
+    /// The request body arrives slowly.
     SlowBody,
 }
 
-/// Why this side ended a connection at once.
+/// Why this process aborted a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AbortReason {
-    /// Its request comes too slowly.
+    /// The request arrives too slowly.
     RequestTooSlow,
-    /// Its client was seen to have closed it.
+    /// The client has closed it.
     ClientClosed,
-    /// Its client takes nothing of an answer.
+    /// The client has stopped reading an answer.
     ClientStopped,
-    /// It made way for another one.
+    /// It was evicted in favour of another connection.
     MadeWay,
-    /// This process ends.
+    /// This process is shutting down.
     ProcessEnded,
 }
 
 impl AbortReason {
-    /// What this means for an answer that was on its way.
+    /// The matching reason for an answer that was being streamed.
     pub fn answer_interruption(self) -> AnswerInterruption {
         match self {
             AbortReason::ClientStopped => AnswerInterruption::ClientStopped,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// What this means for a body that was still coming.
+    /// The matching reason for a request body that was still being received.
     pub fn upload_interruption(self) -> UploadInterruption {
         match self {
             AbortReason::RequestTooSlow => UploadInterruption::TooSlow,
@@ -96,31 +97,33 @@
     }
 }
 
-/// A client's connection as the others see it.
+/// The state of a client connection, shared between its task and the server.
 pub struct ClientConnection {
-    /// Its socket.
+    /// The socket with its counts of bytes read and written.
     pub meter: Rc<Meter>,
     phase: Cell<Phase>,
-    /// When the phase began, and what had been read by then.
+    /// When the phase began, and the number of bytes read before.
     phase_began: Cell<Instant>,
     read_before_phase: Cell<u64>,
-    /// What had been written when that last changed, and when.
+    /// The number of bytes written when that number last changed, and the time of that.
     write_progress: Cell<(u64, Instant)>,
-    /// What has come of the answer that it passes on.
+    /// The progress of the answer that is being streamed.
     pub answer_progress: Cell<Option<Progress>>,
-    /// How long its body was held up by this side.
+    /// How long this process has paused receiving the request body.
     pub backpressure: Rc<Backpressure>,
-    /// Its request's body is still coming, though the answer is known.
+    /// Whether the request body is still being received although the request has been answered.
     pub draining_upload: Cell<bool>,
-    /// Told to end between requests.
+    /// Notified when the connection is to close after its current answer.
     pub close_requested: Notify,
-    /// It has been told to make way.
+    /// Whether the connection has been evicted.
     pub evicted: Cell<bool>,
+    /// Why it was aborted.
     abort_reason: Cell<Option<AbortReason>>,
+    /// Why it was told to close gracefully.
     graceful_close_reason: Cell<Option<CloseReason>>,
-    /// The connection ends with the answer that is on its way.
+    /// Whether the connection closes after the answer that is being sent.
     pub last_answer: Cell<bool>,
-    /// Requests that have come, and the client's name for the last of them.
+    /// The number of requests received, and the correlation id of the last one.
     request_count: Cell<u64>,
     last_correlation_id: RefCell<Option<Rc<str>>>,
     guard: Rc<Guard>,
@@ -128,7 +131,7 @@
 }
 
 impl ClientConnection {
-    /// A connection on which nothing has come yet.
+    /// Creates the state of a connection on which nothing has been received.
     pub fn new(stream: TcpStream, guard: Rc<Guard>) -> Rc<Self> {
         let connection = ClientConnection {
             meter: Meter::new(stream),
@@ -153,32 +156,32 @@
         Rc::new(connection)
     }
 
-    /// Names the task that serves it.
+    /// Sets the task that serves the connection.
     pub fn set_serving_task(&self, task: AbortHandle) {
         let _ = self.serving_task.set(task);
     }
 
-    /// What it is doing.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// How long it has been doing that.
+    /// How long the current phase has lasted.
     pub fn phase_age(&self) -> Duration {
         self.phase_began.get().elapsed()
     }
 
-    /// When the phase began.
-    pub fn since(&self) -> Instant {
+    /// When the current phase began.
+    pub fn phase_began(&self) -> Instant {
         self.phase_began.get()
     }
 
-    /// Begins a phase.
+    /// Enters a phase: restarts its clock and its count of bytes read.
     pub fn enter_phase(&self, phase: Phase) {
         self.phase.set(phase);
         self.phase_began.set(Instant::now());
         self.read_before_phase.set(self.meter.read());
-        // What holds up a body goes on to while its request is in work, or is answered early.
+        // The time for which a body was paused still counts while its request is processed or is answered early.
         if !matches!(phase, Phase::Processing | Phase::Responding) {
             self.backpressure.reset();
         }
@@ -187,112 +190,118 @@
         }
     }
 
-    /// Begins to take a body: what has been read counts from the head on, and so does its time.
+    /// Enters the phase in which a body is received. The time and the bytes read count from the start of the head.
     pub fn enter_body_phase(&self) {
         self.phase.set(Phase::ReceivingBody);
     }
 
-    /// Bytes read since the phase began.
+    /// The number of bytes read since the phase began.
     pub fn read_in_phase(&self) -> u64 {
         self.meter.read().saturating_sub(self.read_before_phase.get())
     }
 
-    /// Whether its request should have come by now; what this side holds up is not its fault, nor what has come and
-    /// has not been read. While the answer before is still on its way, nothing is due.
+    /// Whether the request should have been received by now. Time for which this process paused the body does not
+    /// count, and a request is not overdue while received bytes are unread or the previous answer is still being
+    /// written.
     pub fn request_overdue(&self) -> bool {
         let by_bytes = Duration::from_secs_f64(self.read_in_phase() as f64 / MIN_UPLOAD_RATE);
         let late = self.phase_age() >= REQUEST_TIMEOUT + by_bytes + self.backpressure.paused();
         late && !self.meter.write_blocked() && self.meter.quiet()
     }
 
-    /// Begins to watch how an answer is taken.
+    /// Restarts the clock that measures whether the client reads an answer.
     pub fn begin_answer(&self) {
         self.write_progress.set((self.meter.written(), Instant::now()));
     }
 
-    /// Whether an answer is on its way: one that is passed on, or one that its client has not taken yet.
+    /// Whether an answer is being sent: one that is being streamed, or one that is not completely written yet.
     pub fn is_answering(&self) -> bool {
         self.phase() == Phase::Responding || self.meter.write_blocked()
     }
 
-    /// Whether its client has taken nothing for so long of what is to be written.
-    pub fn client_stalled(&self, for_long: Duration) -> bool {
+    /// Whether the client has read nothing of the pending output for `stall_time`.
+    pub fn client_stalled(&self, stall_time: Duration) -> bool {
         let (written, at) = self.write_progress.get();
         if self.meter.written() != written || !self.meter.write_blocked() {
             self.begin_answer();
             return false;
         }
-        at.elapsed() >= for_long
+        at.elapsed() >= stall_time
     }
 
-    /// Whether it passes on an answer of which nothing has come for so long.
-    pub fn answer_stalled(&self, for_long: Duration) -> bool {
+    /// Whether an answer is being streamed of which the backend has sent nothing for `stall_time`.
+    pub fn answer_stalled(&self, stall_time: Duration) -> bool {
         let progress = self.answer_progress.get().filter(|_| self.phase() == Phase::Responding);
-        progress.is_some_and(|progress| progress.last_received.elapsed() >= for_long)
+        progress.is_some_and(|progress| progress.last_received.elapsed() >= stall_time)
     }
 
-    /// Whether the answer that it passes on is known to be long.
+    /// Whether the answer that is being streamed is known to be long.
     pub fn answer_is_long(&self) -> bool {
         self.answer_progress.get().is_some_and(|progress| progress.extent == Extent::Long)
     }
 
-    /// Whether its client has stopped sending a body that was answered early, and nothing comes of that answer
-    /// either. One who stops for the answer, and reads that, is let be.
+    /// Whether the client has stopped sending a body that was answered early and the answer has stalled, too. A
+    /// client that stops sending in order to read the answer does not count.
     pub fn upload_abandoned(&self) -> bool {
         self.draining_upload.get() && self.request_overdue() && self.answer_stalled(STALL_TIMEOUT)
     }
 
-    /// Its request waits for an answer, or for more of itself.
+    /// Whether a request waits for its answer or for the rest of its body.
     pub fn awaits_answer(&self) -> bool {
         matches!(self.phase(), Phase::ReceivingBody | Phase::Processing)
     }
 
-    /// Nothing has been read since the phase began.
+    /// Whether nothing has been read since the phase began.
     pub fn nothing_read(&self) -> bool {
         self.meter.read() == self.read_before_phase.get()
     }
 
-    /// Nothing has come, read or not: closing it cuts nothing that has begun.
+    /// Whether nothing has been received since the phase began, read or unread, so that closing interrupts no
+    /// request.
     pub fn nothing_received(&self) -> bool {
         self.nothing_read() && self.meter.quiet()
     }
 
-    /// It has just come, has said nothing, and may be about to ask.
+    /// Whether the connection is new, has received nothing and may be about to send a request.
     pub fn is_fresh(&self, now: Instant) -> bool {
         self.phase() == Phase::New && self.nothing_read() && now - self.phase_began.get() < NEXT_REQUEST_GRACE
     }
 
-    /// Where it stands in the line of those that make way; `None` for those that do not.
+    /// The eviction rank; `None` if the connection must not be evicted.
     pub fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
-        let age = now - self.phase_began.get();
+        let phase_age = now - self.phase_began.get();
         match self.phase() {
-            Phase::New if self.nothing_read() => (age >= NEXT_REQUEST_GRACE).then_some(EvictionRank::Silent),
+            Phase::New if self.nothing_read() => {
+                (phase_age >= NEXT_REQUEST_GRACE).then_some(EvictionRank::Silent)
+            }
             Phase::Idle | Phase::ReceivingHead if self.meter.write_blocked() => None,
-            Phase::Idle if self.nothing_read() && age >= ANSWER_SETTLE_TIME => Some(EvictionRank::Idle),
-            Phase::New | Phase::ReceivingHead if age >= SLOW_REQUEST_AGE => Some(EvictionRank::SlowHead),
-            Phase::ReceivingBody if age >= SLOW_REQUEST_AGE => Some(EvictionRank::SlowBody),
+            Phase::Idle if self.nothing_read() && phase_age >= ANSWER_SETTLE_TIME => Some(EvictionRank::Idle),
+            Phase::New | Phase::ReceivingHead if phase_age >= SLOW_REQUEST_AGE => {
+                Some(EvictionRank::SlowHead)
+            }
+            Phase::ReceivingBody if phase_age >= SLOW_REQUEST_AGE => Some(EvictionRank::SlowBody),
             _ => None,
         }
     }
 
-    /// Ends what is between requests, once its last answer is written.
-    pub fn close_gracefully(&self, why: CloseReason) {
-        self.graceful_close_reason.set(Some(why));
+    /// Closes the connection once no request is in progress and the last answer is written.
+    pub fn close_gracefully(&self, reason: CloseReason) {
+        self.graceful_close_reason.set(Some(reason));
         self.close_requested.notify_one();
     }
 
-    /// Takes in that a request has come.
-    pub fn record_request(&self, name: &Rc<str>) {
+    /// Records that a request has been received.
+    pub fn record_request(&self, correlation_id: &Rc<str>) {
         self.request_count.set(self.request_count.get() + 1);
-        *self.last_correlation_id.borrow_mut() = Some(name.clone());
+        *self.last_correlation_id.borrow_mut() = Some(correlation_id.clone());
     }
 
-    /// Requests that have come, and the client's name for the last of them.
+    /// The number of requests received, and the correlation id of the last one.
     pub fn requests(&self) -> (u64, Option<Rc<str>>) {
         (self.request_count.get(), self.last_correlation_id.borrow().clone())
     }
 
-    /// Why it ended.
+    /// Why the connection ended.
     pub fn close_reason(&self) -> CloseReason {
         match self.abort_reason.get() {
             Some(AbortReason::RequestTooSlow) => CloseReason::RequestTooSlow,
@@ -306,21 +315,22 @@
         }
     }
 
-    /// Ends it at once.
-    pub fn abort(&self, why: AbortReason) {
-        let client_gone = matches!(why, AbortReason::ClientClosed | AbortReason::ClientStopped);
+    /// Closes the connection at once. The guard refuses this while a request waits for its answer, unless the client
+    /// is gone.
+    pub fn abort(&self, reason: AbortReason) {
+        let client_gone = matches!(reason, AbortReason::ClientClosed | AbortReason::ClientStopped);
         if self.phase() == Phase::Processing && !client_gone {
-            let what = format!("request {:?}, {why:?}", self.last_correlation_id.borrow());
-            return self.guard.record(Violation::CloseOverRequest, &what);
+            let step = format!("request {:?}, {reason:?}", self.last_correlation_id.borrow());
+            return self.guard.record(Violation::CloseOverRequest, &step);
         }
-        self.abort_reason.set(Some(why));
+        self.abort_reason.set(Some(reason));
         if let Some(task) = self.serving_task.get() {
             task.abort();
         }
     }
 
-    /// Why it ended: where this side did not, its client did.
-    pub fn cut_reason(&self) -> AbortReason {
+    /// Why the connection was aborted. If this process did not abort it, the client closed it.
+    pub fn abort_reason(&self) -> AbortReason {
         self.abort_reason.get().unwrap_or(AbortReason::ClientClosed)
     }
 }
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -1,4 +1,4 @@
-//! One request: checked, handed to the driver, and answered.
+//! Handling of one request: validates it, passes it to the driver and answers it.
 
 use super::connection::{ClientConnection, Phase};
 use super::transfer::{RequestLabel, StreamedAnswer, UploadMonitor};
@@ -26,37 +26,40 @@
 /// An answer to a client.
 pub(super) type Answer = Response<Either<Full<Bytes>, StreamedAnswer>>;
 
-/// A request's body: whole, or as far as it has come.
+/// A received request body.
 enum Received {
+    /// The whole body is in memory.
     Whole { payload: Payload, in_progress: RequestInProgress },
+    /// The body is still being received.
     Partial(Rc<UploadSource>),
 }
 
+/// Returns an answer with a text as its body.
 fn text_answer(status: StatusCode, text: &'static str) -> Answer {
     let mut answer = Response::new(Either::Left(Full::new(Bytes::from_static(text.as_bytes()))));
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer after which nothing more is read.
+/// Returns an answer with a text as its body, after which the connection closes.
 fn closing_answer(status: StatusCode, text: &'static str) -> Answer {
     let mut answer = text_answer(status, text);
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     answer
 }
 
-/// What is passed on of a request: all but what concerns its connection alone.
-fn build_message(head: Parts, body: Payload, wait: Micros, client: &ClientConnection) -> Message {
+/// Builds the message to forward to a backend, without the hop-by-hop headers. `time_limit` is in microseconds.
+fn build_message(head: Parts, body: Payload, time_limit: Micros, client: &ClientConnection) -> Message {
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
-    // A target in absolute form goes on as a path, as backends expect it.
+    // Backends expect a path, so a target in absolute form is reduced to its path and query.
     let target = head.uri.path_and_query().map_or_else(Uri::default, |p| Uri::from(p.clone()));
     Message {
         method: head.method,
         target,
         headers,
         body,
-        client_wait: Duration::from_micros(wait),
+        client_wait: Duration::from_micros(time_limit),
         client: client.meter.clone(),
     }
 }
@@ -71,40 +74,46 @@
             return self.health_check(request.method());
         }
         let (head, body) = request.into_parts();
-        let (terms, length) = match admit(&head, self.driver.config()) {
+        let (metadata, length) = match admit(&head, self.driver.config()) {
             Ok(admitted) => admitted,
-            // Where it is wrong in one thing, its end may be elsewhere than it says, too.
+            // The end of an invalid request is uncertain, so the connection cannot be used further.
             Err((status, text)) => return closing_answer(status, text),
         };
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
-        // Danger: what one reader takes for a body may hold a request for another, who goes by the length.
+        // Request smuggling: a backend that uses the length instead of the chunks could take a part of the body for
+        // another request.
         if chunked && client.meter.names("content-length") != Some(false) {
             return closing_answer(StatusCode::BAD_REQUEST, "two lengths\n");
         }
-        client.record_request(&terms.correlation_id);
+        client.record_request(&metadata.correlation_id);
         client.enter_body_phase();
         self.request_waiting.notify_one();
-        let label = RequestLabel { class: terms.class, correlation_id: terms.correlation_id.clone() };
+        let label = RequestLabel { class: metadata.class, correlation_id: metadata.correlation_id.clone() };
         let mut upload = UploadMonitor::new(client.clone(), self.metrics.clone(), label.clone());
         let received = match self.receive_body(&head, body, length, label.class, client, &mut upload).await {
             Ok(received) => received,
             Err((status, text)) => return closing_answer(status, text),
         };
         match received {
-            Received::Whole { payload, in_progress: taken } => {
-                let terms = RequestMetadata { time_limit: remaining_time(terms.time_limit, client), ..terms };
-                let ticket = self.submit(build_message(head, payload, terms.time_limit, client), terms);
-                match ticket {
-                    Ok(mut ticket) => self.build_answer(ticket.wait().await, label, taken, client).await,
+            Received::Whole { payload, in_progress } => {
+                let metadata =
+                    RequestMetadata { time_limit: remaining_time(metadata.time_limit, client), ..metadata };
+                let pending =
+                    self.submit(build_message(head, payload, metadata.time_limit, client), metadata);
+                match pending {
+                    Ok(mut pending) => {
+                        self.build_answer(pending.wait().await, label, in_progress, client).await
+                    }
                     Err((status, text)) => closing_answer(status, text),
                 }
             }
             Received::Partial(source) => {
-                self.answer_while_uploading(head, source, terms, label, upload, client).await
+                self.answer_while_uploading(head, source, metadata, label, upload, client).await
             }
         }
     }
 
+    /// Answers a health check: whether clients should use this address.
     fn health_check(&self, method: &Method) -> Answer {
         match (method == Method::GET, self.serving()) {
             (false, _) => closing_answer(StatusCode::METHOD_NOT_ALLOWED, "GET only\n"),
@@ -113,7 +122,7 @@
         }
     }
 
-    /// Takes a body: a small one whole, else its beginning, with the rest to follow.
+    /// Receives a small body completely, and the beginning of a larger one. Returns the answer to send on failure.
     async fn receive_body(
         &self,
         head: &Parts,
@@ -123,14 +132,15 @@
         client: &Rc<ClientConnection>,
         upload: &mut UploadMonitor,
     ) -> Result<Received, Rejection> {
-        let small = length.filter(|n| *n <= MAX_BUFFERED_BYTES as u64).and_then(|n| usize::try_from(n).ok());
-        let reservation = self.body_budget.reserve(small.unwrap_or(MAX_BUFFERED_BYTES));
-        if reservation.is_none() && small.is_some() {
+        let small_length =
+            length.filter(|n| *n <= MAX_BUFFERED_BYTES as u64).and_then(|n| usize::try_from(n).ok());
+        let reservation = self.body_budget.reserve(small_length.unwrap_or(MAX_BUFFERED_BYTES));
+        if reservation.is_none() && small_length.is_some() {
             self.metrics.record_request(class, RequestOutcome::Dropped);
-            let name = client.requests().1;
+            let correlation_id = client.requests().1;
             self.metrics
                 .reasons
-                .record_refusal(name.as_deref().unwrap_or_default(), RefusalCause::BodiesFull);
+                .record_refusal(correlation_id.as_deref().unwrap_or_default(), RefusalCause::BodiesFull);
             match body.is_end_stream() {
                 true => upload.complete(),
                 false => upload.interrupt(UploadInterruption::AnsweredEarly),
@@ -166,82 +176,83 @@
         }
     }
 
-    /// Hands a request to the driver: its time counts from here, if its last byte has come.
-    fn submit(&self, message: Message, terms: RequestMetadata) -> Result<PendingReply, Rejection> {
-        let class = terms.class;
-        let submitted = self.driver.submit(message, terms);
+    /// Submits a request to the driver. If the body is complete, the time limit starts now.
+    fn submit(&self, message: Message, metadata: RequestMetadata) -> Result<PendingReply, Rejection> {
+        let class = metadata.class;
+        let submitted = self.driver.submit(message, metadata);
         submitted.inspect_err(|(status, _)| {
             self.metrics.record_request(class, RequestOutcome::from_status(*status))
         })
     }
 
-    /// Answers a request whose body is still coming: its time counts from the body's end.
+    /// Answers a request whose body is still being received. Its time limit starts at the end of the body.
     async fn answer_while_uploading(
         &self,
         head: Parts,
         source: Rc<UploadSource>,
-        terms: RequestMetadata,
+        metadata: RequestMetadata,
         request: RequestLabel,
         mut upload: UploadMonitor,
         client: &Rc<ClientConnection>,
     ) -> Answer {
-        let wait = terms.time_limit;
-        let message = build_message(head, Payload::Coming(source.clone()), wait, client);
-        let mut ticket = match self.submit(message, terms) {
-            Ok(ticket) => ticket,
+        let time_limit = metadata.time_limit;
+        let message = build_message(head, Payload::Coming(source.clone()), time_limit, client);
+        let mut pending = match self.submit(message, metadata) {
+            Ok(pending) => pending,
             Err((status, text)) => {
                 upload.interrupt(UploadInterruption::AnsweredEarly);
                 return closing_answer(status, text);
             }
         };
-        let early = tokio::select! {
-            reply = ticket.wait() => Some(reply),
+        let early_reply = tokio::select! {
+            reply = pending.wait() => Some(reply),
             ended = source.ended() => {
-                if let Err(why) = ended {
-                    upload.interrupt(why);
+                if let Err(reason) = ended {
+                    upload.interrupt(reason);
                     return closing_answer(StatusCode::BAD_REQUEST, "broken body\n");
                 }
                 None
             }
         };
-        let Some(reply) = early else {
+        let Some(reply) = early_reply else {
             upload.complete();
             client.enter_phase(Phase::Processing);
-            let taken = self.metrics.start_request();
-            self.driver.body_received(&ticket, remaining_time(wait, client));
-            return self.build_answer(ticket.wait().await, request, taken, client).await;
+            let in_progress = self.metrics.start_request();
+            self.driver.body_received(&pending, remaining_time(time_limit, client));
+            return self.build_answer(pending.wait().await, request, in_progress, client).await;
         };
         upload.interrupt(UploadInterruption::AnsweredEarly);
-        self.drain_upload(source, ticket, wait, client);
+        self.drain_upload(source, pending, time_limit, client);
         self.build_answer(reply, request, self.metrics.start_request(), client).await
     }
 
-    /// Reads the rest of a body whose request has its answer: an answer that is passed on has its time from the end.
+    /// Reads the rest of a body whose request has been answered early, in a task of its own. The time limit of an
+    /// answer that is still being streamed starts at the end of the body.
     fn drain_upload(
         &self,
         source: Rc<UploadSource>,
-        ticket: PendingReply,
-        wait: Micros,
+        pending: PendingReply,
+        time_limit: Micros,
         client: &Rc<ClientConnection>,
     ) {
         client.draining_upload.set(true);
-        // Danger: who holds the connection keeps its socket open.
+        // A weak reference, as a strong one would keep the socket open after the connection has ended.
         let (driver, client) = (self.driver.clone(), Rc::downgrade(client));
         tokio::task::spawn_local(async move {
             source.drain().await;
             if let Some(client) = client.upgrade() {
                 client.draining_upload.set(false);
             }
-            driver.body_received(&ticket, wait);
+            driver.body_received(&pending, time_limit);
         });
     }
 
-    /// The answer to a client for what came of its request.
+    /// Builds the answer to the client from the final result of its request, and counts the result.
     async fn build_answer(
         &self,
         reply: Reply,
         request: RequestLabel,
-        taken: RequestInProgress,
+        in_progress: RequestInProgress,
         client: &Rc<ClientConnection>,
     ) -> Answer {
         match reply {
@@ -253,16 +264,16 @@
                         Either::Left(body)
                     }
                     Either::Right(download) => {
-                        let (client, figures) = (client.clone(), self.metrics.clone());
-                        Either::Right(StreamedAnswer::new(download, client, figures, request, taken))
+                        let (client, metrics) = (client.clone(), self.metrics.clone());
+                        Either::Right(StreamedAnswer::new(download, client, metrics, request, in_progress))
                     }
                 };
                 Response::from_parts(head, body)
             }
-            Reply::Refused { retry_after: wait, attempted: tried, reason: why } => {
-                self.metrics.reasons.record_refusal(&request.correlation_id, RefusalCause::Decided(why));
+            Reply::Refused { retry_after, attempted, reason } => {
+                self.metrics.reasons.record_refusal(&request.correlation_id, RefusalCause::Decided(reason));
                 self.metrics.record_request(request.class, RequestOutcome::Dropped);
-                refusal_answer(wait, tried)
+                refusal_answer(retry_after, attempted)
             }
             Reply::Failed => {
                 self.metrics.record_request(request.class, RequestOutcome::Failed);
@@ -276,18 +287,19 @@
     }
 }
 
-/// What is left of a request's time, which counts from when its last byte came. Danger: that may be long before it is
-/// read: in the listener's line, behind a process that was held up, on a core that others use.
-fn remaining_time(wait: Micros, client: &ClientConnection) -> Micros {
-    wait.saturating_sub(client.meter.since_last_data().as_micros() as Micros)
+/// Returns what is left of a time limit (both in microseconds) that started when the last byte of the request
+/// arrived. The request may be read much later: after it has waited in the listen queue, while the process was
+/// paused, or while others used the core.
+fn remaining_time(time_limit: Micros, client: &ClientConnection) -> Micros {
+    time_limit.saturating_sub(client.meter.since_last_data().as_micros() as Micros)
 }
 
-/// A refusal, with when to come again where that is known (in microseconds; 0: it is not).
-fn refusal_answer(wait: Micros, tried: bool) -> Answer {
-    let status = if tried { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
+/// Returns the answer to a refused request, with a `Retry-After` header unless `retry_after` (in microseconds) is 0.
+fn refusal_answer(retry_after: Micros, attempted: bool) -> Answer {
+    let status = if attempted { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
     let mut answer = text_answer(status, "refused\n");
-    if wait > 0 {
-        let seconds = format!("{:.3}", wait as f64 / 1e6);
+    if retry_after > 0 {
+        let seconds = format!("{:.3}", retry_after as f64 / 1e6);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             answer.headers_mut().insert(RETRY_AFTER, value);
         }
--- a/node/src/server/transfer.rs
+++ b/node/src/server/transfer.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through: how each one ends is counted, and told in the log where it ends too soon.
+//! Bodies in transfer: counts how each one ends, and logs those that are interrupted.
 
 use super::connection::{ClientConnection, Phase};
 use crate::body::download::Download;
@@ -15,61 +15,72 @@
 /// The request that a body belongs to.
 #[derive(Clone)]
 pub struct RequestLabel {
-    /// Its class.
+    /// The class of the request.
     pub class: ClassIndex,
-    /// The client's name for it.
+    /// The value of its `X-Correlation-Id` header.
     pub correlation_id: Rc<str>,
 }
 
-/// An answer on its way, counted by how it ends; one whose client has left is not.
+/// The body of an answer that is being streamed. Counts its request by how the answer ends, unless the client has
+/// left.
 pub struct StreamedAnswer {
     download: Download,
     client: Rc<ClientConnection>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     request: RequestLabel,
-    began: Instant,
-    /// The request in work, until its end is settled.
+    started_at: Instant,
+    /// The request in progress; `None` once its outcome has been counted.
     in_progress: Option<RequestInProgress>,
 }
 
 impl StreamedAnswer {
-    /// Passes on an answer to a client.
+    /// Starts to stream an answer to a client.
     pub fn new(
         download: Download,
         client: Rc<ClientConnection>,
-        figures: Rc<Metrics>,
+        metrics: Rc<Metrics>,
         request: RequestLabel,
-        taken: RequestInProgress,
+        in_progress: RequestInProgress,
     ) -> Self {
         client.answer_progress.set(Some(download.progress()));
-        StreamedAnswer { download, client, figures, request, began: Instant::now(), in_progress: Some(taken) }
+        StreamedAnswer {
+            download,
+            client,
+            metrics,
+            request,
+            started_at: Instant::now(),
+            in_progress: Some(in_progress),
+        }
     }
 
+    /// Counts the request as passed.
     fn complete(&mut self) {
         if self.in_progress.take().is_some() {
-            self.figures.record_request(self.request.class, RequestOutcome::Passed);
+            self.metrics.record_request(self.request.class, RequestOutcome::Passed);
         }
     }
 
-    fn interrupt(&mut self, why: AnswerInterruption) {
+    /// Counts and logs an interruption, unless the answer has ended already.
+    fn interrupt(&mut self, reason: AnswerInterruption) {
         if self.in_progress.take().is_none() {
             return;
         }
-        let client_left = matches!(why, AnswerInterruption::ClientClosed | AnswerInterruption::ClientStopped);
+        let client_left =
+            matches!(reason, AnswerInterruption::ClientClosed | AnswerInterruption::ClientStopped);
         if !client_left {
-            self.figures.record_request(self.request.class, RequestOutcome::Failed);
+            self.metrics.record_request(self.request.class, RequestOutcome::Failed);
         }
         let progress = self.download.progress();
         let line = format!(
-            "answer interrupted: {why}; request {:?} of class {}, backend {}: {} bytes in {} ms, the last {} ms ago",
+            "answer interrupted: {reason}; request {:?} of class {}, backend {}: {} bytes in {} ms, the last {} ms ago",
             self.request.correlation_id,
-            self.figures.class_name(self.request.class),
+            self.metrics.class_name(self.request.class),
             progress.backend,
             progress.received,
-            self.began.elapsed().as_millis(),
+            self.started_at.elapsed().as_millis(),
             progress.last_received.elapsed().as_millis(),
         );
-        self.figures.record_answer_interruption(why, &line);
+        self.metrics.record_answer_interruption(reason, &line);
     }
 }
 
@@ -84,7 +95,7 @@
         let next = Pin::new(&mut self.download).poll_frame(cx);
         self.client.answer_progress.set(Some(self.download.progress()));
         match &next {
-            Poll::Ready(Some(Err(why))) => self.interrupt(*why),
+            Poll::Ready(Some(Err(reason))) => self.interrupt(*reason),
             Poll::Ready(None) => self.complete(),
             Poll::Ready(_) if self.download.is_end_stream() => self.complete(),
             _ => {}
@@ -103,50 +114,51 @@
 
 impl Drop for StreamedAnswer {
     fn drop(&mut self) {
-        self.interrupt(self.client.cut_reason().answer_interruption());
+        self.interrupt(self.client.abort_reason().answer_interruption());
         self.client.answer_progress.set(None);
         self.client.enter_phase(Phase::Idle);
     }
 }
 
-/// A request's body that is coming; dropped before its end is told, it was interrupted with its connection.
+/// Watches a request body that is being received. If it is dropped before the end of the body is recorded, the body
+/// was interrupted together with its connection.
 pub struct UploadMonitor {
     client: Rc<ClientConnection>,
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     request: RequestLabel,
-    began: Instant,
+    started_at: Instant,
     ended: bool,
 }
 
 impl UploadMonitor {
-    /// Watches the body of a request that has begun to come.
-    pub fn new(client: Rc<ClientConnection>, figures: Rc<Metrics>, request: RequestLabel) -> Self {
-        UploadMonitor { client, figures, request, began: Instant::now(), ended: false }
+    /// Starts to watch the body of a request.
+    pub fn new(client: Rc<ClientConnection>, metrics: Rc<Metrics>, request: RequestLabel) -> Self {
+        UploadMonitor { client, metrics, request, started_at: Instant::now(), ended: false }
     }
 
-    /// All of it has come.
+    /// Records that the whole body has been received.
     pub fn complete(&mut self) {
         self.ended = true;
     }
 
-    /// It ends before it is whole.
-    pub fn interrupt(&mut self, why: UploadInterruption) {
+    /// Counts and logs an interruption, unless the end of the body has been recorded already.
+    pub fn interrupt(&mut self, reason: UploadInterruption) {
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
         let line = format!(
-            "upload interrupted: {why}; request {:?} of class {}: {} bytes read in {} ms",
+            "upload interrupted: {reason}; request {:?} of class {}: {} bytes read in {} ms",
             self.request.correlation_id,
-            self.figures.class_name(self.request.class),
+            self.metrics.class_name(self.request.class),
             self.client.read_in_phase(),
-            self.began.elapsed().as_millis(),
+            self.started_at.elapsed().as_millis(),
         );
-        self.figures.record_upload_interruption(why, &line);
+        self.metrics.record_upload_interruption(reason, &line);
     }
 }
 
 impl Drop for UploadMonitor {
     fn drop(&mut self) {
-        self.interrupt(self.client.cut_reason().upload_interruption());
+        self.interrupt(self.client.abort_reason().upload_interruption());
     }
 }
