--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -12,9 +12,9 @@
 use crate::backend::{Message, Payload, Pool};
 use crate::body::download::{AnswerBody, Deadline};
 use crate::clock::Clock;
-use crate::counter::{Counter, Results};
+use crate::counter::{CallObserver, Counter};
 use crate::discovery::Subscriber;
-use crate::endpoints::{Endpoint, List};
+use crate::endpoints::{Endpoint, EndpointList};
 use crate::guard::{EarlierAttempt, Guard};
 use crate::reasons::{ReasonCounts, RefusalCause};
 use backend_list::{BackendList, UpdatedBackend, MAX_BACKENDS};
@@ -243,7 +243,7 @@
             return Err((StatusCode::CONFLICT, "a request of this X-Correlation-Id is open\n"));
         }
         let now = self.0.clock.now();
-        let body_pending = matches!(message.body, Payload::Coming(_));
+        let body_pending = matches!(message.body, Payload::Streamed(_));
         let received_at = if body_pending { 0 } else { now };
         let time_left = metadata.time_limit.saturating_sub(DEADLINE_MARGIN)
             + if body_pending { MAX_UPLOAD_TIME } else { 0 };
@@ -321,14 +321,14 @@
     pub fn set_backend_disabled(&self, name: &str, disabled: bool) {
         let mut state = self.0.state.borrow_mut();
         let backend = state.backends.set_disabled(name, disabled);
-        self.0.pool.bar(backend, disabled);
+        self.0.pool.set_disabled(backend, disabled);
         state.events.push_back(Event::BackendDisabled { backend, disabled });
         self.run(&mut state, self.0.clock.now());
     }
 
     /// The listed backends and the names of those that an operator has disabled, for the next process of this
     /// gateway.
-    pub fn backend_snapshot(&self) -> (List, Vec<String>) {
+    pub fn backend_snapshot(&self) -> (EndpointList, Vec<String>) {
         self.0.state.borrow().backends.snapshot()
     }
 
@@ -390,7 +390,7 @@
     }
 
     /// Applies a list of backends that this gateway kept from an earlier process or was handed over.
-    pub fn apply_cached_list(&self, list: List) {
+    pub fn apply_cached_list(&self, list: EndpointList) {
         if !list.endpoints.is_empty() {
             self.0.has_backend_list.set(true);
         }
@@ -398,7 +398,7 @@
     }
 
     /// Applies a list of backends and passes the change to the decision module.
-    fn apply_list(&self, list: List, kind: ListKind) {
+    fn apply_list(&self, list: EndpointList, kind: ListKind) {
         let state = &mut *self.0.state.borrow_mut();
         if kind != ListKind::Delta {
             let missing = state.backends.missing_from(&list);
@@ -420,7 +420,7 @@
     /// Removes a backend that is gone, with its idle connections.
     fn remove_backend(&self, state: &mut DriverState, name: &str) {
         if let Some(id) = state.backends.remove(name, self.0.clock.now()) {
-            self.0.pool.forget(id);
+            self.0.pool.remove_backend(id);
         }
     }
 
@@ -433,7 +433,7 @@
             self.remove_backend(state, &endpoint.name);
         } else {
             let ready = row.state == BackendState::Ready;
-            self.0.pool.set(row.backend, endpoint.address, ready, same_process);
+            self.0.pool.update_backend(row.backend, endpoint.address, ready, same_process);
         }
         Some(row)
     }
@@ -448,7 +448,7 @@
 
 impl Subscriber for Driver {
     /// Applies a list from discovery. Returns true if the decision module asks for the whole list.
-    fn told(&self, mut list: List, older: bool) -> bool {
+    fn list_received(&self, mut list: EndpointList, older: bool) -> bool {
         self.0.has_backend_list.set(true);
         self.0.list_received.notify_one();
         if older {
@@ -460,22 +460,22 @@
         std::mem::take(&mut self.0.state.borrow_mut().refetch_list)
     }
 
-    fn failed(&self) {
+    fn call_failed(&self) {
         self.handle_event(Event::Backends { kind: ListKind::Failed, version: 0, rows: Vec::new() });
     }
 
-    fn knows_any(&self) -> bool {
+    fn knows_any_backend(&self) -> bool {
         !self.0.state.borrow().backends.is_empty()
     }
 }
 
-impl Results for Driver {
-    fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
+impl CallObserver for Driver {
+    fn call_ended(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
         self.0.state.borrow_mut().report_counts.count_call(result);
         self.handle_event(Event::CounterCallEnded { key: name, result, elapsed });
     }
 
-    fn counted_late(&self, name: CounterKey, amount: f64, result: CounterResult) {
+    fn overdue_call_ended(&self, name: CounterKey, amount: f64, result: CounterResult) {
         self.0.state.borrow_mut().report_counts.count_overdue_call(result);
         self.handle_event(Event::OverdueCallEnded { key: name, amount, result });
     }
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -2,7 +2,7 @@
 
 use super::timers::TimerKind;
 use super::{Driver, DriverState, InFlightAttempt, Reply};
-use crate::backend::{AttemptLimits, ClientClosed, Finish};
+use crate::backend::{AttemptLimits, ClientClosed, CompletedAttempt};
 use crate::guard::{EarlierAttempt, RepeatFacts};
 use crate::reasons::outcome_name;
 use caperwind::{
@@ -66,7 +66,7 @@
             Action::Probe { backend } => {
                 let driver = self.clone();
                 tokio::task::spawn_local(async move {
-                    let Finish { outcome, load, .. } = driver.0.pool.probe(backend).await;
+                    let CompletedAttempt { outcome, load, .. } = driver.0.pool.probe(backend).await;
                     let elapsed = driver.0.clock.now().saturating_sub(now);
                     driver.handle_event(Event::Probed { backend, outcome, elapsed, load });
                 });
@@ -91,7 +91,7 @@
         let Some(open) = state.requests.get_mut(&id) else { return };
         let attempt = open.attempts;
         open.attempts = attempt.saturating_add(1);
-        let body_consumed = open.message.spent();
+        let body_consumed = open.message.body_consumed();
         let facts = RepeatFacts {
             effect: open.effect,
             earlier: &open.history,
@@ -147,7 +147,7 @@
         now: Micros,
         id: RequestId,
         attempt: u8,
-        finish: Finish,
+        finish: CompletedAttempt,
     ) {
         let Some(open) = state.requests.get_mut(&id) else { return };
         let Some(index) = open.in_flight.iter().position(|a| a.attempt == attempt) else { return };
@@ -162,18 +162,19 @@
             outcome_name(finish.outcome),
             now.saturating_sub(ended.started_at)
         );
-        let Finish { outcome, load, billed, answer } = finish;
+        let CompletedAttempt { outcome, load, billed_units, answer } = finish;
         if let (Some(answer), Some(reply)) = (answer, open.reply.take_if(|_| outcome == Outcome::Ok)) {
             drop(reply.send(Reply::Served(Box::new(answer))));
         }
         let (request_done, none_in_flight) = (open.reply.is_none(), open.in_flight.is_empty());
         // A backend starts to work when it has received the whole request.
-        let (body_consumed, work_began) = (open.message.spent(), ended.started_at.max(open.received_at));
+        let (body_consumed, work_began) =
+            (open.message.body_consumed(), ended.started_at.max(open.received_at));
         state.report_counts.count_attempt(outcome);
         if request_done && none_in_flight {
             state.remove_request(id);
         }
-        let finish = Finish { outcome, load, billed, answer: None };
+        let finish = CompletedAttempt { outcome, load, billed_units, answer: None };
         let elapsed = now.saturating_sub(work_began);
         state.events.push_back(attempt_ended_event(
             id,
@@ -243,7 +244,7 @@
     elapsed: Micros,
     request_done: bool,
     body_consumed: bool,
-    finish: Finish,
+    finish: CompletedAttempt,
 ) -> Event {
     Event::AttemptEnded(AttemptResult {
         id,
@@ -253,7 +254,7 @@
         elapsed,
         request_done,
         quota_use: None,
-        billed_units: finish.billed,
+        billed_units: finish.billed_units,
         load: finish.load,
         body_consumed,
     })
--- a/node/src/driver/backend_list.rs
+++ b/node/src/driver/backend_list.rs
@@ -1,6 +1,6 @@
 //! The list of backends, as discovery reports them and operators disable them.
 
-use crate::endpoints::{Endpoint, List, Status};
+use crate::endpoints::{Endpoint, EndpointList, Status};
 use crate::hash::{fnv1a, fnv1a_step};
 use caperwind::{
     BackendId, BackendRow, BackendState, CellIndex, Config, MachineKindIndex, Micros, ZoneIndex,
@@ -67,9 +67,9 @@
     }
 
     /// All listed backends, and the names of those that an operator has disabled.
-    pub fn snapshot(&self) -> (List, Vec<String>) {
+    pub fn snapshot(&self) -> (EndpointList, Vec<String>) {
         let endpoints = self.listed.values().map(|(_, endpoint)| endpoint.clone()).collect();
-        (List { index: 0, snapshot: true, endpoints }, self.disabled.keys().cloned().collect())
+        (EndpointList { index: 0, snapshot: true, endpoints }, self.disabled.keys().cloned().collect())
     }
 
     /// Merges an entry of a list that may be older than the known state into that state. Returns false if the entry
@@ -90,7 +90,7 @@
     }
 
     /// The names of the listed backends that a full list does not contain, and which are gone therefore.
-    pub fn missing_from(&self, list: &List) -> Vec<String> {
+    pub fn missing_from(&self, list: &EndpointList) -> Vec<String> {
         let names: HashSet<&str> = list.endpoints.iter().map(|e| e.name.as_str()).collect();
         self.listed.keys().filter(|name| !names.contains(name.as_str())).cloned().collect()
     }
@@ -142,7 +142,7 @@
         backend,
         state: BackendState::from(endpoint.status),
         cell: CellIndex(endpoint.group),
-        kind: MachineKindIndex(index_of(&config.machine_kinds, &endpoint.kind)),
+        kind: MachineKindIndex(index_of(&config.machine_kinds, &endpoint.machine_kind)),
         zone: ZoneIndex(index_of(&config.zones, &endpoint.zone)),
         started_at: endpoint.since_ms.saturating_mul(1000),
         weight: endpoint.weight,
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -9,7 +9,7 @@
 use crate::figures::Metrics;
 use crate::guard::Violation;
 use crate::logging::LimitedLog;
-use crate::meter::{Metered, HEAD_BYTES};
+use crate::meter::{MeteredStream, MAX_HEAD_BYTES};
 use crate::reasons::CloseReason;
 use connection::{AbortReason, ClientConnection, EvictionRank, Phase, NEXT_REQUEST_GRACE};
 use http_body_util::Either;
@@ -279,7 +279,7 @@
                     // The end of an answer is still to be written to a slow client.
                     Phase::Idle if client.is_answering() => {}
                     Phase::Idle if phase_age >= 2 * IDLE_TIMEOUT => client.abort(AbortReason::ClientStopped),
-                    Phase::Idle if phase_age >= IDLE_TIMEOUT && client.meter.quiet() => {
+                    Phase::Idle if phase_age >= IDLE_TIMEOUT && client.meter.is_open_and_empty() => {
                         client.close_gracefully(CloseReason::Idle)
                     }
                     _ => {}
@@ -313,7 +313,7 @@
                 let streamed = matches!(answer.body(), Either::Right(_));
                 client.begin_answer();
                 client.enter_phase(if streamed { Phase::Responding } else { Phase::Idle });
-                if server.driver.shutting_down() || server.driver.draining() || client.meter.skipped() {
+                if server.driver.shutting_down() || server.driver.draining() || client.meter.has_discarded() {
                     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 }
                 client.last_answer.set(answer.headers().contains_key(CONNECTION));
@@ -322,8 +322,9 @@
         });
         let mut http = http1::Builder::new();
         // `watch_connections` enforces the timeouts of all connections.
-        http.header_read_timeout(None).max_buf_size(HEAD_BYTES);
-        let mut conn = pin!(http.serve_connection(TokioIo::new(Metered(client.meter.clone())), service));
+        http.header_read_timeout(None).max_buf_size(MAX_HEAD_BYTES);
+        let mut conn =
+            pin!(http.serve_connection(TokioIo::new(MeteredStream(client.meter.clone())), service));
         let mut client_closed = pin!(self.wait_for_client_close(client));
         let mut shutdown_requested = false;
         loop {
@@ -344,11 +345,11 @@
     /// Waits until the client closes its connection while its request waits. The HTTP library does not read beyond
     /// the request and would not notice it, so that requests without a client would be sent to backends.
     async fn wait_for_client_close(&self, client: &ClientConnection) {
-        let mut closed = pin!(client.meter.closed());
+        let mut closed = pin!(client.meter.wait_peer_closed());
         poll_fn(|cx| match client.phase() {
             _ if !client.awaits_answer() => Poll::Pending,
             _ if closed.as_mut().poll(cx).is_ready() => Poll::Ready(()),
-            phase => client.meter.poll_ahead(cx, &self.body_budget, phase == Phase::Processing),
+            phase => client.meter.poll_read_ahead(cx, &self.body_budget, phase == Phase::Processing),
         })
         .await
     }
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -1,6 +1,6 @@
 //! A client connection: its phase, its timeouts and its eviction rank.
 
-use crate::body::answer_limit::{Extent, STALL_TIMEOUT};
+use crate::body::answer_limit::{LengthClass, STALL_TIMEOUT};
 use crate::body::download::Progress;
 use crate::body::interruption::{AnswerInterruption, UploadInterruption};
 use crate::body::upload::Backpressure;
@@ -152,7 +152,7 @@
             guard,
             serving_task: OnceCell::new(),
         };
-        connection.meter.listen();
+        connection.meter.record_next_head();
         Rc::new(connection)
     }
 
@@ -186,7 +186,7 @@
             self.backpressure.reset();
         }
         if phase == Phase::Idle {
-            self.meter.listen();
+            self.meter.record_next_head();
         }
     }
 
@@ -206,7 +206,7 @@
     pub fn request_overdue(&self) -> bool {
         let by_bytes = Duration::from_secs_f64(self.read_in_phase() as f64 / MIN_UPLOAD_RATE);
         let late = self.phase_age() >= REQUEST_TIMEOUT + by_bytes + self.backpressure.paused();
-        late && !self.meter.write_blocked() && self.meter.quiet()
+        late && !self.meter.write_blocked() && self.meter.is_open_and_empty()
     }
 
     /// Restarts the clock that measures whether the client reads an answer.
@@ -237,7 +237,7 @@
 
     /// Whether the answer that is being streamed is known to be long.
     pub fn answer_is_long(&self) -> bool {
-        self.answer_progress.get().is_some_and(|progress| progress.extent == Extent::Long)
+        self.answer_progress.get().is_some_and(|progress| progress.length_class == LengthClass::Long)
     }
 
     /// Whether the client has stopped sending a body that was answered early and the answer has stalled, too. A
@@ -259,7 +259,7 @@
     /// Whether nothing has been received since the phase began, read or unread, so that closing interrupts no
     /// request.
     pub fn nothing_received(&self) -> bool {
-        self.nothing_read() && self.meter.quiet()
+        self.nothing_read() && self.meter.is_open_and_empty()
     }
 
     /// Whether the connection is new, has received nothing and may be about to send a request.
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -82,7 +82,7 @@
         let chunked = head.headers.contains_key(TRANSFER_ENCODING);
         // Request smuggling: a backend that uses the length instead of the chunks could take a part of the body for
         // another request.
-        if chunked && client.meter.names("content-length") != Some(false) {
+        if chunked && client.meter.recorded_head_has_field("content-length") != Some(false) {
             return closing_answer(StatusCode::BAD_REQUEST, "two lengths\n");
         }
         client.record_request(&metadata.correlation_id);
@@ -149,7 +149,7 @@
         }
         let gathered = match &reservation {
             Some(_) => gather(body, None).await,
-            None => Gathered::Part(Bytes::new(), body),
+            None => Gathered::Partial(Bytes::new(), body),
         };
         match (gathered, reservation) {
             (Gathered::Whole(body), Some(reservation)) => {
@@ -161,11 +161,11 @@
                 let payload = Payload::Whole { body, _reservation: reservation };
                 Ok(Received::Whole { payload, in_progress: self.metrics.start_request() })
             }
-            (Gathered::Part(..), _) if head.method == Method::GET => {
+            (Gathered::Partial(..), _) if head.method == Method::GET => {
                 upload.interrupt(UploadInterruption::AnsweredEarly);
                 Err((StatusCode::BAD_REQUEST, "GET takes no body\n"))
             }
-            (Gathered::Part(first, rest), reservation) => {
+            (Gathered::Partial(first, rest), reservation) => {
                 let backpressure = client.backpressure.clone();
                 Ok(Received::Partial(UploadSource::new(first, reservation, rest, length, backpressure)))
             }
@@ -196,7 +196,7 @@
         client: &Rc<ClientConnection>,
     ) -> Answer {
         let time_limit = metadata.time_limit;
-        let message = build_message(head, Payload::Coming(source.clone()), time_limit, client);
+        let message = build_message(head, Payload::Streamed(source.clone()), time_limit, client);
         let mut pending = match self.submit(message, metadata) {
             Ok(pending) => pending,
             Err((status, text)) => {
@@ -206,7 +206,7 @@
         };
         let early_reply = tokio::select! {
             reply = pending.wait() => Some(reply),
-            ended = source.ended() => {
+            ended = source.wait_end() => {
                 if let Err(reason) = ended {
                     upload.interrupt(reason);
                     return closing_answer(StatusCode::BAD_REQUEST, "broken body\n");
