--- a/src/random.rs
+++ b/src/random.rs
@@ -1,7 +1,7 @@
 //! Well-spread and random numbers.
 
 /// A well-spread number from another (splitmix64).
-pub(crate) fn mix(v: u64) -> u64 {
+pub(crate) fn hash(v: u64) -> u64 {
     let mut z = v.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -9,7 +9,7 @@
 }
 
 /// A number's place in 0..1.
-pub(crate) fn unit(v: u64) -> f64 {
+pub(crate) fn to_fraction(v: u64) -> f64 {
     (v >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -22,6 +22,6 @@
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        unit(self.0)
+        to_fraction(self.0)
     }
 }
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -5,7 +5,7 @@
 
 impl Gateway {
     /// Whether a backend may have begun to work on it.
-    pub(crate) fn possibly_ran(a: &Attempt) -> bool {
+    pub(crate) fn may_have_run(a: &Attempt) -> bool {
         !matches!(a.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
     }
 
@@ -13,12 +13,12 @@
     pub(crate) fn may_send(&self, id: RequestId, b: &Backend) -> bool {
         let r = &self.requests[&id];
         let most = self.cfg.max_attempts as usize;
-        let spent = r.spent || r.attempts.len() >= most || self.now >= r.deadline;
+        let spent = r.body_consumed || r.attempts.len() >= most || self.now >= r.deadline;
         let out = r.attempts.iter().any(|a| a.outcome.is_none());
-        if r.over || r.streaming || spent || (out && !self.cfg.hedging) {
+        if r.done || r.streaming || spent || (out && !self.cfg.hedging) {
             return false;
         }
-        let Some(ran) = r.attempts.iter().find(|a| Self::possibly_ran(a)) else { return true };
+        let Some(ran) = r.attempts.iter().find(|a| Self::may_have_run(a)) else { return true };
         match self.cfg.classes[r.class].effect {
             Effect::Pure => true,
             Effect::Unsafe => false,
@@ -29,7 +29,7 @@
                     KeyGroup::Zone => there.is_some_and(|t| t.zone == b.row.zone),
                     KeyGroup::Cell => there.is_some_and(|t| t.cell == b.row.cell),
                 };
-                same && self.since(ran.sent) + 2.0 * (self.cfg.tick as f64) < window as f64
+                same && self.since(ran.sent_at) + 2.0 * (self.cfg.tick as f64) < window as f64
             }
         }
     }
@@ -39,8 +39,8 @@
     pub(crate) fn repeat_window_end(&self, id: RequestId) -> Option<Micros> {
         let r = &self.requests[&id];
         let Effect::Keyed { window, .. } = self.cfg.classes[r.class].effect else { return None };
-        let ran = r.attempts.iter().find(|a| Self::possibly_ran(a))?;
-        Some(ran.sent.saturating_add(window))
+        let ran = r.attempts.iter().find(|a| Self::may_have_run(a))?;
+        Some(ran.sent_at.saturating_add(window))
     }
 
     /// Rule 2: whether a refusal would be true.
@@ -48,7 +48,7 @@
         let r = &self.requests[&id];
         match self.cfg.classes[r.class].effect {
             Effect::Pure | Effect::Keyed { group: KeyGroup::All, .. } => true,
-            _ => !r.attempts.iter().any(Self::possibly_ran),
+            _ => !r.attempts.iter().any(Self::may_have_run),
         }
     }
 
--- a/src/vitals.rs
+++ b/src/vitals.rs
@@ -74,20 +74,20 @@
         let listed = self.backends.values().filter(|b| b.listed);
         Diagnostics {
             refusals: self.refusals,
-            expected_latency_us: self.expected(),
-            idle_latency_us: self.mix_base,
-            in_flight: self.out,
-            stalled: self.lost,
+            expected_latency_us: self.expected_latency(),
+            idle_latency_us: self.mean_idle_latency,
+            in_flight: self.in_flight,
+            stalled: self.stalled,
             listed_backends: listed.clone().count(),
-            ejected_backends: listed.clone().filter(|b| b.health != Health::Well).count(),
-            skipped_backends: listed.filter(|b| !self.usable(b)).count(),
+            ejected_backends: listed.clone().filter(|b| b.health != Health::Healthy).count(),
+            skipped_backends: listed.filter(|b| !self.is_usable(b)).count(),
             customers: self.customers.len(),
-            counter_keys: self.names.len(),
+            counter_keys: self.counter_keys.len(),
             requests: self.requests.len(),
             timers: self.timers.len(),
             known_backends: self.backends.len(),
-            call_pace: self.pace,
-            max_calls: self.calls_most,
+            call_pace: self.call_pace,
+            max_calls: self.max_calls,
         }
     }
 }
