--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Until when an attempt of a keyed request that may have run can be followed by another. Danger: decided on in
-    /// time, it may still wait for its connection to come up.
+    /// Until when an attempt of a keyed request that may have run can be followed by another. Danger: decided
+    /// on in time, it may still wait for its connection to come up.
     pub(crate) fn repeat_window_end(&self, id: RequestId) -> Option<Micros> {
         let r = &self.requests[&id];
         let Effect::Keyed { window, .. } = self.cfg.classes[r.class].effect else { return None };
--- a/src/state.rs
+++ b/src/state.rs
@@ -34,7 +34,7 @@
     pub(crate) restored: bool,
     /// Others' units in the last total, as taken from the store.
     #[serde(rename = "others")]
-    pub(crate) other_gateways_units: f64,
+    pub(crate) others_units: f64,
 }
 
 /// A request held for a fresh total.
@@ -43,13 +43,13 @@
     pub(crate) id: RequestId,
     pub(crate) units: f64,
     /// What is counted for it: more than its units where it stands for others not counted.
-    pub(crate) counted_units: f64,
+    pub(crate) counted: f64,
     /// What is to be counted once it has gone on.
-    pub(crate) deferred_units: f64,
+    pub(crate) deferred: f64,
     /// Its customer had come here within two windows.
-    pub(crate) returning_customer: bool,
+    pub(crate) returning: bool,
     /// The call that is out carries it.
-    pub(crate) covered_by_call: bool,
+    pub(crate) covered: bool,
 }
 
 #[derive(Default, Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
     pub(crate) traffic_share: f64,
     /// Units a window that come through the others, smoothed.
     #[serde(rename = "others")]
-    pub(crate) other_gateways_units: f64,
+    pub(crate) others_units: f64,
     #[serde(skip)]
     pub(crate) sync_at: Option<Micros>,
     #[serde(skip)]
@@ -102,9 +102,9 @@
     #[default]
     Healthy,
     /// Ejected as an outlier until then; the wait to follow if the trial fails.
-    Ejected { until: Micros, wait: f64, dead: bool },
+    Ejected { until: Micros, backoff: f64, dead: bool },
     /// A probe or a single trial attempt is out.
-    Trial { wait: f64, dead: bool },
+    Trial { backoff: f64, dead: bool },
 }
 
 #[derive(Default)]
@@ -114,7 +114,7 @@
     pub(crate) in_flight: u32,
     /// Of these, attempts that got lost, and when the last one that it has answered was sent.
     pub(crate) stalled: u32,
-    pub(crate) latest_answered_sent_at: Micros,
+    pub(crate) newest_answered: Micros,
     /// Latency against the fleet's for the same class: 1 is usual.
     pub(crate) latency_ratio: f64,
     pub(crate) latency_ratio_at: Micros,
@@ -125,7 +125,7 @@
     pub(crate) reported_others: Option<(f64, Micros)>,
     /// When it last answered `full` to a class (0, index) or plan (1, index), unless served since.
     pub(crate) last_full_at: BTreeMap<(u8, usize), Micros>,
-    pub(crate) consecutive_failures: u32,
+    pub(crate) failures: u32,
     pub(crate) error_rate: f64,
     /// When its last answer came, or when it was first listed.
     pub(crate) last_answer_at: Micros,
@@ -287,7 +287,7 @@
 }
 
 /// Adds an instant and forgets those that are over a span old.
-pub(crate) fn note(times: &mut VecDeque<Micros>, now: Micros, span: Micros) {
+pub(crate) fn record_time(times: &mut VecDeque<Micros>, now: Micros, span: Micros) {
     times.push_back(now);
     while times.front().is_some_and(|&t| now.saturating_sub(t) > span) {
         times.pop_front();
@@ -318,7 +318,7 @@
             spread,
             window,
             traffic_share: share,
-            other_gateways_units: others,
+            others_units: others,
             bucket_level: store,
             bucket_updated_at: now,
             own_bucket_level: slice,
@@ -346,7 +346,7 @@
     pub(crate) fn record_total(&mut self, window: u64, total: f64, now: Micros) {
         let Some(t) = self.window_count(window) else { return };
         let others = (total - t.added).max(0.0);
-        let before = std::mem::replace(&mut t.other_gateways_units, others);
+        let before = std::mem::replace(&mut t.others_units, others);
         (t.total, t.total_received_at) = (total, Some(now));
         self.bucket_level = (self.bucket_level - (others - before)).max(0.0);
     }
@@ -406,7 +406,7 @@
     }
 
     /// Attempts out that work waits with, as far as is known.
-    pub(crate) fn waiting(&self) -> f64 {
+    pub(crate) fn active_attempts(&self) -> f64 {
         self.in_flight.saturating_sub(self.stalled) as f64
     }
 
@@ -436,7 +436,8 @@
         self.now.saturating_sub(at) as f64
     }
 
-    /// A whole number for a part: in each slot of time, of all gateways those that the lot picks get one more.
+    /// A whole number for a part: in each slot of time, of all gateways those that the lot picks get one
+    /// more.
     pub(crate) fn round_by_lot(&self, part: f64, slot: f64, of: u64) -> f64 {
         let lot = self.hash_fraction(hash(of) ^ (self.now as f64 / slot) as u64);
         part.floor() + f64::from(u8::from(lot < part.fract()))
@@ -463,7 +464,7 @@
         let Some(cid) = self.requests.get(&id).map(|r| r.customer) else { return };
         let Some(c) = self.customers.get_mut(&cid) else { return };
         let at = c.held.iter().position(|h| h.id == id);
-        c.current.unsent -= at.map_or(0.0, |at| c.held.remove(at).counted_units);
+        c.current.unsent -= at.map_or(0.0, |at| c.held.remove(at).counted);
     }
 
     /// Brings a customer's next sync forward to `after` from now; an earlier one stays.
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -1,4 +1,5 @@
-//! What a process leaves as it ends: what it knows to the next one, and what it has spent to that one or the counter.
+//! What a process leaves as it ends: what it knows to the next one, and what it has spent to that one or the
+//! counter.
 
 use crate::api::*;
 use crate::state::{Backend, Customer, Gateway};
@@ -72,8 +73,7 @@
                 let own = std::mem::take(&mut t.unsent)
                     + std::mem::take(&mut t.correction)
                     + std::mem::take(&mut t.in_call);
-                (t.total, t.other_gateways_units, t.call_in_flight) =
-                    (t.total + own, t.other_gateways_units + own, false);
+                (t.total, t.others_units, t.call_in_flight) = (t.total + own, t.others_units + own, false);
             }
             c
         };
