--- a/src/logic.rs
+++ b/src/logic.rs
@@ -123,11 +123,13 @@
     fn estimate(&self, elapsed_fraction: f64) -> f64 {
         self.previous.total_estimate() * (1.0 - elapsed_fraction) + self.current.total_estimate()
     }
+
     /// Returns this gateway's fraction of the quota: its smoothed fraction of the customer's traffic, and an
     /// even part at the least.
     fn quota_share(&self) -> f64 {
         self.traffic_share.max(1.0 / self.spread)
     }
+
     /// Returns the same estimate as [`Customer::estimate`] of the units admitted by this gateway only.
     fn own_estimate(&self, elapsed_fraction: f64) -> f64 {
         self.previous.admitted * (1.0 - elapsed_fraction) + self.current.admitted
