--- a/src/logic.rs
+++ b/src/logic.rs
@@ -82,12 +82,14 @@
 const PRESUMED_COLD_TIME: f64 = 5e6;
 /// The fraction of errors among recent responses above which a backend is ejected.
 const EJECTION_ERROR_RATE: f64 = 0.4;
-/// The first wait before an ejected backend is tried again, in microseconds. It doubles up to 8 times this.
+/// The first wait before an ejected backend is tried again, in microseconds. It doubles up to 8 times this
+/// value.
 const BASE_EJECTION_TIME: f64 = 500_000.0;
 /// The fractions of its target latency that a request's completion may be expected to take: at the least and
 /// at the greatest worth.
 const QUEUE_FRACTIONS: (f64, f64) = (0.35, 0.6);
-/// The multiple of the latency of idle backends above which the expected latency leads to refusals.
+/// The multiple of the latency of idle backends above which the expected latency has a request of mean worth
+/// refused.
 const MAX_IDLE_LATENCY_FACTOR: f64 = 7.0;
 /// The number of requests at the mean latency that the measured throughput is weighed against.
 const PRIOR_REQUESTS: f64 = 2.0;
@@ -456,6 +458,7 @@
 
     /// Records the units of a request that is sent on without a call of its own. Where calls are limited, a
     /// random sample of the requests is counted for the others too, which keeps the totals right on average.
+    /// `count` is false if the request is not to be counted at all.
     fn record_units(&mut self, id: CustomerId, units: f64, count: bool) {
         let elapsed_fraction = self.advance_windows(id);
         let (draw, limit) = (self.random.next(), self.window_limit(self.customers[&id].plan));
@@ -504,7 +507,7 @@
     }
 
     /// Sends a customer's unsent units to the counter and reads its totals, with at most one call in flight
-    /// per key. The total of the previous window is read only once, as it no longer grows.
+    /// per key. The total of the previous window is read only once, as no units of new requests are added.
     fn sync(&mut self, id: CustomerId) {
         let (window, plan) = (self.customers[&id].window, self.customers[&id].plan);
         let previous = window.wrapping_sub(1);
@@ -605,7 +608,7 @@
                 count.added += amount;
                 // If the counter has lost the key, or an addition never reached it, the units used would be
                 // granted again. When a total is lower than what this gateway has added, the difference is
-                // added once more, once per window.
+                // sent again, at most once per window.
                 let (missing, mut known_total) = (count.added - total, total);
                 if missing > 0.5 && !count.restored {
                     (count.restored, count.unsent, count.added) =
@@ -825,9 +828,8 @@
         let Some(customer) = self.customers.get_mut(&customer_id) else { return };
         let returning =
             std::mem::replace(&mut customer.current.request_seen, true) || customer.previous.request_seen;
-        // A customer with room by the totals is not suspected at all. With a mere probability in place of
-        // what is known, such customers would be refused, ask again under new ids and look even more
-        // suspicious.
+        // A customer with room by the totals counts as within its quota. If a probability replaced what is
+        // known, such customers would be refused, ask again under new ids and get even higher probabilities.
         let over_quota = match decision {
             QuotaDecision::Admit(_, over_quota) => over_quota,
             QuotaDecision::Hold(_) => self.over_quota_probability(&self.customers[&customer_id]),
@@ -877,8 +879,8 @@
         let in_service = served_rate.zip(service_ms).map_or(0.0, |(rate, ms)| rate * ms / 1e3);
         let reported = value(LoadField::Active).or(value(LoadField::Waiting).map(|q| q + in_service));
         if let (Some(reported), Some(backend)) = (reported, self.backends.get_mut(&id)) {
-            // A report is older than this gateway's own count. Less the present own requests, a backend would
-            // look idle, so the own count is smoothed over the age of the reports.
+            // A report is older than this gateway's own count. If the present number of own attempts were
+            // subtracted, a backend would look idle, so their number is smoothed over the age of the reports.
             backend.update_in_flight_mean(now);
             let others = (reported - backend.in_flight_mean).max(0.0);
             let (mean, at) = backend.reported_others.unwrap_or((others, now));
@@ -969,7 +971,8 @@
     }
 
     /// Returns whether a new request can be expected to complete within its target latency. Requests of
-    /// little worth for their work are refused first.
+    /// little worth for their work are refused first. `over_quota` is the probability that its customer is
+    /// over its quota.
     fn has_capacity(&mut self, id: RequestId, over_quota: f64) -> bool {
         let (request, class, expected) =
             (&self.requests[&id], self.requests[&id].class, self.expected_latency());
@@ -996,7 +999,7 @@
         // A number of requests that is always allowed would jam the fleet if each gateway used it in full. It
         // is two per backend over all gateways, which take turns.
         let always_allowed =
-            self.round_by_lot(2.0 * self.backends.len() as f64 / self.cfg.gateways as f64, SECOND, 0);
+            self.round_by_hash(2.0 * self.backends.len() as f64 / self.cfg.gateways as f64, SECOND, 0);
         // A class that is refused while others fill the queue would be served nowhere, and its latency never
         // measured.
         let best_ratio = self.class_admission.iter().map(DecayingRatio::ratio).fold(0.0, f64::max);
@@ -1507,7 +1510,7 @@
         if budget < 1.0 {
             return backend.turn_progress >= 1.0 && backend.in_flight == 0;
         }
-        let budget = self.round_by_lot(budget, self.cfg.collapse_after as f64, backend.row.key());
+        let budget = self.round_by_hash(budget, self.cfg.collapse_after as f64, backend.row.key());
         self.recent_count(&backend.recent_sends).max(backend.in_flight as f64) < budget
     }
 
@@ -1521,9 +1524,9 @@
             / subset_fraction
     }
 
-    /// Brings this gateway's turns at cold backends nearer by the time `elapsed`, in microseconds. If a new
-    /// lot were drawn in each period, it would often fall to a gateway that has no request then or chooses
-    /// another backend. Cold backends would stay idle while the warm ones are overloaded.
+    /// Brings this gateway's turns at cold backends nearer by the time `elapsed`, in microseconds. If the
+    /// turns were drawn anew in each period, they would often fall to gateways that have no request then or
+    /// choose another backend. Cold backends would stay idle while the warm ones are overloaded.
     fn advance_slow_start_turns(&mut self, elapsed: f64) {
         let usable = self.usable_count();
         let is_cold = |b: &Backend| self.is_usable(b) && self.capacity(b) < 1.0;
--- a/src/state.rs
+++ b/src/state.rs
@@ -527,9 +527,9 @@
     /// Rounds a value that all gateways have in common to a whole number, so that its sum over all gateways
     /// is about right: in each period, in microseconds, a hash decides which of them round up. `key` tells
     /// different values apart.
-    pub(crate) fn round_by_lot(&self, value: f64, period: f64, key: u64) -> f64 {
-        let lot = self.hash_fraction(hash(key) ^ (self.now as f64 / period) as u64);
-        value.floor() + f64::from(u8::from(lot < value.fract()))
+    pub(crate) fn round_by_hash(&self, value: f64, period: f64, key: u64) -> f64 {
+        let threshold = self.hash_fraction(hash(key) ^ (self.now as f64 / period) as u64);
+        value.floor() + f64::from(u8::from(threshold < value.fract()))
     }
 
     /// Returns a hash of this gateway's number and `key` in 0..1.
--- a/src/vitals.rs
+++ b/src/vitals.rs
@@ -56,6 +56,7 @@
 }
 
 impl RefusalCounts {
+    /// Counts a refusal, unless its reason is `GivenUp` or `Unknown`.
     pub(crate) fn count(&mut self, reason: RefusalReason) {
         *match reason {
             RefusalReason::OverQuota => &mut self.over_quota,
