--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -1,7 +1,7 @@
 //! The counter client: one call out per connection, so that a late answer is never another call's.
 
 use crate::clock::Clock;
-use crate::link::{head_length, Broken, Link, SETTLE};
+use crate::link::{head_length, Link, SendError, REUSE_DELAY};
 use bytes::Bytes;
 use caperwind::{CounterKey, CounterResult, CounterSettings as Limits, Micros};
 use http_body_util::{BodyExt, Either, Full, Limited};
@@ -21,11 +21,11 @@
 const MAX_ANSWER_BYTES: usize = 1024;
 
 /// Who is told what became of calls.
-pub trait Results {
+pub trait CallObserver {
     /// A call's one result.
-    fn counted(&self, name: CounterKey, result: CounterResult, elapsed: Micros);
+    fn call_ended(&self, name: CounterKey, result: CounterResult, elapsed: Micros);
     /// What became of a call that was told as overdue.
-    fn counted_late(&self, name: CounterKey, amount: f64, result: CounterResult);
+    fn overdue_call_ended(&self, name: CounterKey, amount: f64, result: CounterResult);
 }
 
 /// Connections to the counter.
@@ -113,7 +113,7 @@
     /// Starts a call.
     pub fn call<R>(self: &Rc<Self>, results: R, clock: Clock, name: CounterKey, amount: f64, life: Micros)
     where
-        R: Results + 'static,
+        R: CallObserver + 'static,
     {
         let (counter, began) = (self.clone(), clock.now());
         self.in_flight.set(self.in_flight.get() + 1);
@@ -122,7 +122,7 @@
             let path = format!("/v2/numbers/{:016x}?delta={amount}&life_ms={}", name.0, (life / 1000).max(1));
             let tell = |result| {
                 counter.in_flight.set(counter.in_flight.get() - 1);
-                results.counted(name, result, clock.now().saturating_sub(began));
+                results.call_ended(name, result, clock.now().saturating_sub(began));
             };
             let Some((permit, link)) = counter.checkout(until).await else {
                 return tell(CounterResult::NotAdded);
@@ -142,7 +142,7 @@
                     tell(CounterResult::Overdue);
                     let (end, link) =
                         timeout(LINGER, call).await.unwrap_or((CounterResult::Unanswered, None));
-                    results.counted_late(name, amount, end);
+                    results.overdue_call_ended(name, amount, end);
                     link
                 }
             };
@@ -157,7 +157,7 @@
     /// open. A new one takes a round trip of its call's time, and may be one that never comes up.
     fn reuse(&self) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= SETTLE) {
+        while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= REUSE_DELAY) {
             let (link, since) = idle.remove(at);
             if link.usable() && since.elapsed() < IDLE_TIMEOUT {
                 return Some(link);
@@ -183,7 +183,7 @@
             }
             // Danger: one closed to make room for another is seen by the counter some time later: there would be more
             // than it holds. Where those that have not settled take up all places, the first of them is waited for.
-            let settled = self.idle.borrow().first().map(|(_, since)| *since + SETTLE)?;
+            let settled = self.idle.borrow().first().map(|(_, since)| *since + REUSE_DELAY)?;
             timeout_at(until, sleep_until(settled)).await.ok()?;
         }
     }
@@ -203,7 +203,7 @@
     let length = head_length(&request);
     let answer = match link.send(request, || Some(length)).await {
         Ok(answer) => answer,
-        Err(Broken { written: true }) => return (CounterResult::Unanswered, None),
+        Err(SendError { fully_written: true }) => return (CounterResult::Unanswered, None),
         Err(_) => return (CounterResult::NotAdded, None),
     };
     let status = answer.status().as_u16();
