--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -344,13 +344,13 @@
             [receive(&old.requests).await, receive(&old.requests).await, receive(&old.requests).await]
                 .map(|call| call.connection);
         assert_eq!(connections, [0, 0, 1]);
-        client.counter.move_to(new.address);
+        client.counter.set_address(new.address);
         client.call(4);
         let ends = [client.next_end().await, client.next_end().await, client.next_end().await];
         assert_eq!(ends, [(4, InTime(Total(4.0))), (2, InTime(Overdue)), (3, InTime(Overdue))]);
         // Changes back, there and back again.
         for address in [old.address, new.address, old.address] {
-            client.counter.move_to(address);
+            client.counter.set_address(address);
         }
         (0..2).for_each(|_| release.send(()).expect("the counter waits"));
         let mut late = [client.next_end().await, client.next_end().await];
@@ -375,10 +375,10 @@
             let mut client = Client::with_timeout(TEST_TIMEOUT, address, "late");
             client.call(1);
             sleep(Duration::from_millis(20)).await;
-            client.counter.move_to(new.address);
+            client.counter.set_address(new.address);
             let old = old.start_accepting(answer_with_key);
             if back {
-                client.counter.move_to(address);
+                client.counter.set_address(address);
             }
             assert_eq!(client.next_end().await, (1, InTime(CounterResult::Total(1.0))));
             let (old, new) = (old.requests.try_iter().count(), new.requests.try_iter().count());
@@ -403,12 +403,12 @@
             if n % 2 == 0 {
                 tokio::task::yield_now().await;
             }
-            client.counter.move_to(counters[n as usize % 3].address);
+            client.counter.set_address(counters[n as usize % 3].address);
         }
         for _ in 0..180 {
             client.next_end().await;
         }
-        client.counter.move_to(counters[0].address);
+        client.counter.set_address(counters[0].address);
         (0..20).for_each(|n| client.call(n));
         for _ in 0..20 {
             let (key, end) = client.next_end().await;
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery that fails in many ways, over real connections, on a clock that the test advances. Gateways must know a
 //! change within 6 s of the moment at which discovery has it and can be reached, and no fleet may overload discovery.
 
-use badgerglade::discovery::patience::{first_wait, Backoff, Patience, Trouble};
-use badgerglade::discovery::{follow, Subscriber, Terms};
+use badgerglade::discovery::patience::{initial_delay, Backoff, CallTimeouts, FailureKind};
+use badgerglade::discovery::{follow, FollowSettings, Subscriber};
 use badgerglade::endpoints::EndpointList;
 use caperwind::Discovery;
 use std::cell::{Cell, RefCell};
@@ -260,7 +260,7 @@
         let address = format!("127.{}.{}.{}:8500", 60 + pid / 250 % 180, 1 + pid % 250, n);
         let address: SocketAddr = address.parse().expect("an address");
         tokio::task::spawn_local(discovery.clone().listen(address));
-        let terms = Terms { mode, gateways: size, drain_grace: DRAIN_GRACE };
+        let settings = FollowSettings { mode, gateways: size, drain_grace: DRAIN_GRACE };
         let known_lists = (0..simulated).map(|n| {
             let known_list = Rc::new(KnownList {
                 index: Cell::new(held_index.unwrap_or(0)),
@@ -270,7 +270,7 @@
             let gateway = Gateway(known_list.clone());
             tokio::task::spawn_local(async move {
                 let _sender = sender;
-                follow(address, gateway, terms, held_index, u64::from(n) + 1).await;
+                follow(address, gateway, settings, held_index, u64::from(n) + 1).await;
             });
             known_list
         });
@@ -500,32 +500,33 @@
 
 #[test]
 fn a_pushed_list_is_asked_for_at_once_and_others_before_they_count_as_told() {
-    let terms = |mode, gateways| Terms { mode, gateways, drain_grace: DRAIN_GRACE };
+    let settings = |mode, gateways| FollowSettings { mode, gateways, drain_grace: DRAIN_GRACE };
     for gateways in FLEET_SIZES {
-        let wait = first_wait(terms(Discovery::Pushed, gateways), 0.99);
+        let wait = initial_delay(settings(Discovery::Pushed, gateways), 0.99);
         assert_eq!(wait, Duration::ZERO, "{gateways} gateways");
-        let on_request = terms(ON_REQUEST, gateways);
-        let longest_wait = first_wait(on_request, 1.0);
+        let on_request = settings(ON_REQUEST, gateways);
+        let longest_wait = initial_delay(on_request, 1.0);
         assert!(
-            longest_wait + Patience::of(on_request).overdue < MAX_LIST_DELAY,
+            longest_wait + CallTimeouts::new(on_request).watch_margin < MAX_LIST_DELAY,
             "{gateways} gateways: {longest_wait:?}"
         );
     }
-    let on_request = terms(ON_REQUEST, 300);
-    assert!(first_wait(on_request, 0.9) > first_wait(on_request, 0.1), "calls are spread");
+    let on_request = settings(ON_REQUEST, 300);
+    assert!(initial_delay(on_request, 0.9) > initial_delay(on_request, 0.1), "calls are spread");
 }
 
 #[test]
 fn silence_is_found_within_the_grace_or_before_what_is_missed_counts_as_told() {
     for grace in [500, 1_000, 2_000, 60_000].map(Duration::from_millis) {
-        let terms = Terms { mode: Discovery::Pushed, gateways: 300, drain_grace: grace };
-        let limits = Patience::of(terms);
+        let settings = FollowSettings { mode: Discovery::Pushed, gateways: 300, drain_grace: grace };
+        let timeouts = CallTimeouts::new(settings);
         // The end of a silent call, a connection that is not established, and a wait; then a call is answered at once.
-        let wait = |jitter| Backoff::of(terms).wait(Trouble::Broke, 20, Duration::ZERO, jitter);
-        let next_answer = limits.overdue + limits.connect + wait(1.0);
-        assert!(limits.wait + limits.overdue < grace && next_answer < grace, "{grace:?}");
-        assert!(limits.wait + next_answer < MAX_LIST_DELAY, "{grace:?}");
+        let wait = |jitter| Backoff::new(settings).wait(FailureKind::Error, 20, Duration::ZERO, jitter);
+        let next_answer = timeouts.watch_margin + timeouts.connect + wait(1.0);
+        assert!(timeouts.watch_wait + timeouts.watch_margin < grace && next_answer < grace, "{grace:?}");
+        assert!(timeouts.watch_wait + next_answer < MAX_LIST_DELAY, "{grace:?}");
     }
-    let limits = Patience::of(Terms { mode: ON_REQUEST, gateways: 300, drain_grace: DRAIN_GRACE });
-    assert!(limits.wait + limits.overdue < MAX_LIST_DELAY);
+    let timeouts =
+        CallTimeouts::new(FollowSettings { mode: ON_REQUEST, gateways: 300, drain_grace: DRAIN_GRACE });
+    assert!(timeouts.watch_wait + timeouts.watch_margin < MAX_LIST_DELAY);
 }
