--- a/node/tests/connections.rs
+++ b/node/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to backends that end or come up while other events happen. Each test forces one unfavourable order of
+//! Connections to backends that end or are established while other events happen. Each test forces one unfavourable order of
 //! events every time.
 
 mod common;
@@ -103,7 +103,7 @@
 /// first, on a connection that looked idle when it was reused.
 #[test]
 fn a_second_answer_that_comes_late_is_no_answer_to_the_next_request() {
-    const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(4);
+    const MAX_SECOND_ANSWER_DELAY: Duration = Duration::from_millis(4);
     // The last request's correlation id and time, by connection.
     let last_requests: Mutex<HashMap<usize, (String, Instant)>> = Mutex::default();
     let backend = FakeServer::start(move |received| {
@@ -112,7 +112,7 @@
         let previous = last_requests.insert(received.connection, (id.clone(), Instant::now()));
         // Arrives as if it had been on its way when this request was written.
         let second_answer = previous
-            .filter(|(_, at)| at.elapsed() < SECOND_ANSWER_DELAY)
+            .filter(|(_, at)| at.elapsed() < MAX_SECOND_ANSWER_DELAY)
             .map(|(id, _)| answer("200 OK", "", &id));
         Reaction::Answer(second_answer.unwrap_or_default() + &answer("200 OK", "", &id))
     });
--- a/node/tests/counter.rs
+++ b/node/tests/counter.rs
@@ -235,15 +235,16 @@
 /// while the next call is in flight on the connection, or while the connection is idle.
 #[test]
 fn a_second_answer_is_no_other_call_s_total() {
-    const SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
+    const MAX_SECOND_ANSWER_DELAY: Duration = Duration::from_millis(8);
     run(async {
         let last_calls: Mutex<HashMap<usize, Instant>> = Mutex::default();
         let second_while_in_flight = FakeServer::start(move |call| {
             let Reaction::Answer(own_answer) = answer_with_key(call) else { return Reaction::Close };
             let previous = last_calls.lock().expect("unpoisoned").insert(call.connection, Instant::now());
             // Arrives as if it had been on its way when this call was written.
-            let second_answer =
-                previous.filter(|at| at.elapsed() < SECOND_ANSWER_DELAY).map(|_| total_answer(WRONG_TOTAL));
+            let second_answer = previous
+                .filter(|at| at.elapsed() < MAX_SECOND_ANSWER_DELAY)
+                .map(|_| total_answer(WRONG_TOTAL));
             Reaction::Answer(second_answer.unwrap_or_default() + &own_answer)
         });
         let second_while_idle = FakeServer::start(|call| {
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -138,18 +138,18 @@
     }
 
     async fn serve(self: Rc<Self>, mut stream: TcpStream) {
-        let mut text = Vec::new();
+        let mut received = Vec::new();
         loop {
-            text.clear();
-            while !text.ends_with(b"\r\n\r\n") {
-                if stream.read_buf(&mut text).await.unwrap_or(0) == 0 {
+            received.clear();
+            while !received.ends_with(b"\r\n\r\n") {
+                if stream.read_buf(&mut received).await.unwrap_or(0) == 0 {
                     return;
                 }
             }
             self.call_times.borrow_mut().push(Instant::now());
-            let line = String::from_utf8_lossy(&text).into_owned();
+            let head = String::from_utf8_lossy(&received).into_owned();
             let query_number = |name: &str| {
-                let rest = line.split_once(name)?.1;
+                let rest = head.split_once(name)?.1;
                 rest.split(|c: char| !c.is_ascii_digit()).next()?.parse::<u64>().ok()
             };
             let mut behaviour = *self.behaviour.borrow();
@@ -176,39 +176,39 @@
                     _ = changes.changed() => {}
                 }
             }
-            let whole = self.answer();
+            let complete_answer = self.answer();
             let current = if let Behaviour::Busy(_) = *self.behaviour.borrow() {
                 behaviour
             } else {
                 *self.behaviour.borrow()
             };
-            let part = match current {
-                Behaviour::Serve | Behaviour::Busy(_) | Behaviour::Refuse => &whole[..],
+            let sent_part = match current {
+                Behaviour::Serve | Behaviour::Busy(_) | Behaviour::Refuse => &complete_answer[..],
                 Behaviour::Status(status) => {
-                    let text = format!("HTTP/1.1 {status} No\r\ncontent-length: 0\r\n\r\n");
-                    if stream.write_all(text.as_bytes()).await.is_err() {
+                    let rejection = format!("HTTP/1.1 {status} No\r\ncontent-length: 0\r\n\r\n");
+                    if stream.write_all(rejection.as_bytes()).await.is_err() {
                         return;
                     }
                     continue;
                 }
                 Behaviour::Slow(delay) => {
                     sleep(delay).await;
-                    &whole[..]
+                    &complete_answer[..]
                 }
                 Behaviour::SilentBeforeHead | Behaviour::NotAccepting => &[],
-                Behaviour::SilentInHead => &whole[..12],
-                Behaviour::SilentInBody => &whole[..whole.len() - 9],
+                Behaviour::SilentInHead => &complete_answer[..12],
+                Behaviour::SilentInBody => &complete_answer[..complete_answer.len() - 9],
                 Behaviour::Reset => {
                     let _ = stream.set_zero_linger();
                     return;
                 }
             };
-            if stream.write_all(part).await.is_err() {
+            if stream.write_all(sent_part).await.is_err() {
                 return;
             }
-            if part.len() < whole.len() {
+            if sent_part.len() < complete_answer.len() {
                 // Sends nothing more until the other side closes.
-                while stream.read_buf(&mut text).await.unwrap_or(0) > 0 {}
+                while stream.read_buf(&mut received).await.unwrap_or(0) > 0 {}
                 return;
             }
         }
