--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -96,10 +96,14 @@
     last_id: u32,
     /// The correlation ids of open requests.
     open_correlation_ids: HashSet<Rc<str>>,
+    /// The timers, ordered by the time at which they are due.
     timers: BTreeSet<(Micros, TimerKind)>,
+    /// Events that have not been passed to the decision module.
     events: VecDeque<Event>,
+    /// An empty buffer for actions, kept for reuse.
     actions: Vec<Action>,
     backends: BackendList,
+    /// Whether the decision module asks for the whole list of backends.
     refetch_list: bool,
     report_counts: ReportCounts,
 }
@@ -112,19 +116,21 @@
     pool: Rc<Pool>,
     counter: Rc<Counter>,
     reason_counts: Rc<ReasonCounts>,
+    /// Wakes the timer task, as the next timer may be due earlier than before.
     wake: Notify,
     has_backend_list: Cell<bool>,
     /// Notified when discovery delivers a list; a cached list or one handed over does not count.
     list_received: Notify,
+    /// When every request must be finished; `None` before the shutdown.
     shutdown_deadline: Cell<Option<Micros>>,
 }
 
 impl DriverState {
     /// Removes a finished request with its correlation id and its deadline timer.
     fn remove_request(&mut self, id: RequestId) {
-        if let Some(open) = self.requests.remove(&id) {
-            self.open_correlation_ids.remove(&open.correlation_id);
-            self.timers.remove(&(open.deadline, TimerKind::Deadline(id)));
+        if let Some(request) = self.requests.remove(&id) {
+            self.open_correlation_ids.remove(&request.correlation_id);
+            self.timers.remove(&(request.deadline, TimerKind::Deadline(id)));
         }
     }
 }
@@ -212,10 +218,10 @@
         self.0.shutdown_deadline.set(Some(shutdown_deadline));
         let (mut state, mut moved) = (self.0.state.borrow_mut(), Vec::new());
         // The requests get the new deadline themselves, so that no attempt that ends at shutdown is retried.
-        for (id, open) in &mut state.requests {
-            if open.deadline > shutdown_deadline {
-                moved.push((std::mem::replace(&mut open.deadline, shutdown_deadline), *id));
-                open.shared_deadline.set(self.0.clock.instant(shutdown_deadline));
+        for (id, request) in &mut state.requests {
+            if request.deadline > shutdown_deadline {
+                moved.push((std::mem::replace(&mut request.deadline, shutdown_deadline), *id));
+                request.shared_deadline.set(self.0.clock.instant(shutdown_deadline));
             }
         }
         for (old_deadline, id) in moved {
@@ -262,7 +268,7 @@
         let reply_deadline = shared_deadline.clone();
         let effect = self.0.config.classes[usize::from(metadata.class.0)].effect;
         let (history, in_flight) = (Vec::new(), Vec::new());
-        let open = OpenRequest {
+        let request = OpenRequest {
             correlation_id,
             message,
             reply,
@@ -274,7 +280,7 @@
             history,
             in_flight,
         };
-        state.requests.insert(id, open);
+        state.requests.insert(id, request);
         state.timers.insert((deadline, TimerKind::Deadline(id)));
         state.events.push_back(Event::Request(Arrival {
             id,
@@ -307,9 +313,9 @@
         let deadline = self.0.shutdown_deadline.get().map_or(deadline, |limit| deadline.min(limit));
         // The deadline is set even if the request has its final result: an early response may still be in transfer.
         pending.deadline.set(self.0.clock.instant(deadline));
-        let Some(open) = state.requests.get_mut(&id) else { return };
-        let old_deadline = std::mem::replace(&mut open.deadline, deadline);
-        open.received_at = now;
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let old_deadline = std::mem::replace(&mut request.deadline, deadline);
+        request.received_at = now;
         state.timers.remove(&(old_deadline, TimerKind::Deadline(id)));
         state.timers.insert((deadline, TimerKind::Deadline(id)));
         state.events.push_back(Event::Uploaded { id, deadline });
@@ -337,7 +343,7 @@
         self.0.state.borrow().gateway.handover_state()
     }
 
-    /// Removes and returns the units that the counter has not been told of, so that another process can add them.
+    /// Removes and returns the units that have not been added to the counter, so that another process can add them.
     pub fn take_unsynced_units(&self) -> Vec<UnsyncedUnits> {
         self.0.state.borrow_mut().gateway.take_unsynced_units()
     }
@@ -410,8 +416,8 @@
         if rows.len() < listed {
             let ignored = listed - rows.len();
             log::warn!(
-                "backend list: {ignored} new backends ignored: {MAX_BACKENDS} are listed already, which is the limit"
-);
+                "backend list: {ignored} new backends ignored, the limit of {MAX_BACKENDS} listed backends is reached"
+            );
         }
         state.events.push_back(Event::Backends { kind, version: list.index, rows });
         self.run(state, self.0.clock.now());
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -88,24 +88,26 @@
     /// sent.
     fn start_attempt(&self, state: &mut DriverState, now: Micros, order: SendOrder) {
         let SendOrder { id, backend, timeout, begin_by, reason } = order;
-        let Some(open) = state.requests.get_mut(&id) else { return };
-        let attempt = open.attempts;
-        open.attempts = attempt.saturating_add(1);
-        let body_consumed = open.message.body_consumed();
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let attempt = request.attempts;
+        request.attempts = attempt.saturating_add(1);
+        let body_consumed = request.message.body_consumed();
         let facts = RepeatFacts {
-            effect: open.effect,
-            earlier: &open.history,
+            effect: request.effect,
+            earlier: &request.history,
             now,
             max_attempts: self.0.config.max_attempts,
             hedging: self.0.config.hedging,
         };
         let allowed = facts.check();
         if let Err(violation) = allowed {
-            self.guard().record(violation, &format!("request {:?}, attempt {attempt}", open.correlation_id));
+            self.guard()
+                .record(violation, &format!("request {:?}, attempt {attempt}", request.correlation_id));
         }
-        let may_begin = allowed.is_ok() && open.reply.is_some() && !body_consumed && now < open.deadline;
+        let may_begin =
+            allowed.is_ok() && request.reply.is_some() && !body_consumed && now < request.deadline;
         let outcome = if may_begin { None } else { Some(Outcome::NotSent) };
-        open.history.push(EarlierAttempt { started_at: now, outcome });
+        request.history.push(EarlierAttempt { started_at: now, outcome });
         if !may_begin {
             let not_sent = Outcome::NotSent.into();
             state.events.push_back(attempt_ended_event(
@@ -113,30 +115,35 @@
                 attempt,
                 backend,
                 0,
-                open.reply.is_none(),
+                request.reply.is_none(),
                 body_consumed,
                 not_sent,
             ));
             return;
         }
-        self.0.reason_counts.record_attempt(&open.correlation_id, attempt, &backend, reason);
+        self.0.reason_counts.record_attempt(&request.correlation_id, attempt, &backend, reason);
         if let Some(limit) = timeout {
             state.timers.insert((now + limit, TimerKind::AttemptTimeout(id, attempt)));
         }
-        let (driver, message) = (self.clone(), open.message.clone());
+        let (driver, message) = (self.clone(), request.message.clone());
         let begin_by = begin_by.map(|time| self.0.clock.instant(time));
-        let limits = AttemptLimits { deadline: open.shared_deadline.clone(), begin_by };
+        let limits = AttemptLimits { deadline: request.shared_deadline.clone(), begin_by };
         let task = tokio::task::spawn_local(async move {
-            let finish = driver.0.pool.attempt(backend, &message, &limits).await;
+            let completed = driver.0.pool.attempt(backend, &message, &limits).await;
             let mut state = driver.0.state.borrow_mut();
             let now = driver.0.clock.now();
-            match finish {
-                Ok(finish) => driver.end_attempt(&mut state, now, id, attempt, finish),
+            match completed {
+                Ok(completed) => driver.end_attempt(&mut state, now, id, attempt, completed),
                 Err(ClientClosed) => driver.abandon_request(&mut state, now, id),
             }
             driver.run(&mut state, now);
         });
-        open.in_flight.push(InFlightAttempt { attempt, backend, started_at: now, task: task.abort_handle() });
+        request.in_flight.push(InFlightAttempt {
+            attempt,
+            backend,
+            started_at: now,
+            task: task.abort_handle(),
+        });
     }
 
     /// Ends an attempt in flight, for whatever reason it ends. Stops its task if it still runs, which closes its
@@ -147,34 +154,34 @@
         now: Micros,
         id: RequestId,
         attempt: u8,
-        finish: CompletedAttempt,
+        completed: CompletedAttempt,
     ) {
-        let Some(open) = state.requests.get_mut(&id) else { return };
-        let Some(index) = open.in_flight.iter().position(|a| a.attempt == attempt) else { return };
-        let ended = open.in_flight.swap_remove(index);
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        let Some(index) = request.in_flight.iter().position(|a| a.attempt == attempt) else { return };
+        let ended = request.in_flight.swap_remove(index);
         ended.task.abort();
-        if let Some(earlier) = open.history.get_mut(usize::from(attempt)) {
-            earlier.outcome = Some(finish.outcome);
+        if let Some(earlier) = request.history.get_mut(usize::from(attempt)) {
+            earlier.outcome = Some(completed.outcome);
         }
         log::debug!(
             "request {:?} attempt {attempt} ended: {} after {} us",
-            open.correlation_id,
-            outcome_name(finish.outcome),
+            request.correlation_id,
+            outcome_name(completed.outcome),
             now.saturating_sub(ended.started_at)
         );
-        let CompletedAttempt { outcome, load, billed_units, answer } = finish;
-        if let (Some(answer), Some(reply)) = (answer, open.reply.take_if(|_| outcome == Outcome::Ok)) {
+        let CompletedAttempt { outcome, load, billed_units, answer } = completed;
+        if let (Some(answer), Some(reply)) = (answer, request.reply.take_if(|_| outcome == Outcome::Ok)) {
             drop(reply.send(Reply::Served(Box::new(answer))));
         }
-        let (request_done, none_in_flight) = (open.reply.is_none(), open.in_flight.is_empty());
+        let (request_done, none_in_flight) = (request.reply.is_none(), request.in_flight.is_empty());
         // A backend starts to work when it has received the whole request.
         let (body_consumed, work_began) =
-            (open.message.body_consumed(), ended.started_at.max(open.received_at));
+            (request.message.body_consumed(), ended.started_at.max(request.received_at));
         state.report_counts.count_attempt(outcome);
         if request_done && none_in_flight {
             state.remove_request(id);
         }
-        let finish = CompletedAttempt { outcome, load, billed_units, answer: None };
+        let completed = CompletedAttempt { outcome, load, billed_units, answer: None };
         let elapsed = now.saturating_sub(work_began);
         state.events.push_back(attempt_ended_event(
             id,
@@ -183,7 +190,7 @@
             elapsed,
             request_done,
             body_consumed,
-            finish,
+            completed,
         ));
     }
 
@@ -204,11 +211,11 @@
     /// Sends the final result of a request unless it has been sent, and removes the request if no attempt is in
     /// flight.
     fn send_reply(&self, state: &mut DriverState, id: RequestId, reply: Reply) {
-        let Some(open) = state.requests.get_mut(&id) else { return };
-        if let Some(sender) = open.reply.take() {
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        if let Some(sender) = request.reply.take() {
             drop(sender.send(reply));
         }
-        if open.in_flight.is_empty() {
+        if request.in_flight.is_empty() {
             state.remove_request(id);
         }
     }
@@ -223,12 +230,12 @@
 
     /// Abandons a request that no client waits for: informs the decision module and cancels the attempts in flight.
     pub(super) fn abandon_request(&self, state: &mut DriverState, now: Micros, id: RequestId) {
-        let Some(open) = state.requests.get_mut(&id) else { return };
-        if let Some(sender) = open.reply.take() {
+        let Some(request) = state.requests.get_mut(&id) else { return };
+        if let Some(sender) = request.reply.take() {
             drop(sender.send(Reply::ClientClosed));
             state.events.push_back(Event::ClientGone { id });
         }
-        if open.in_flight.is_empty() {
+        if request.in_flight.is_empty() {
             state.remove_request(id);
         } else {
             self.end_all_attempts(state, now, id, Outcome::Cancelled);
@@ -244,18 +251,18 @@
     elapsed: Micros,
     request_done: bool,
     body_consumed: bool,
-    finish: CompletedAttempt,
+    completed: CompletedAttempt,
 ) -> Event {
     Event::AttemptEnded(AttemptResult {
         id,
         attempt: AttemptIndex(attempt),
         backend,
-        outcome: finish.outcome,
+        outcome: completed.outcome,
         elapsed,
         request_done,
         quota_use: None,
-        billed_units: finish.billed_units,
-        load: finish.load,
+        billed_units: completed.billed_units,
+        load: completed.load,
         body_consumed,
     })
 }
--- a/node/src/driver/backend_list.rs
+++ b/node/src/driver/backend_list.rs
@@ -122,7 +122,7 @@
         let id = known.map_or_else(|| backend_id(&endpoint.name, &self.ids), |(id, _)| id);
         let same_process = known.is_some_and(|(_, since_ms)| since_ms == endpoint.since_ms);
         let row = backend_row(id, &endpoint, config);
-        // New backends come under new names, so gone ones would fill the list if they stayed in it.
+        // A gone backend is removed at once: new backends have new names, so gone ones would fill the list.
         if row.state != BackendState::Gone {
             self.gone.remove(&endpoint.name);
             self.ids.insert(id);
@@ -149,8 +149,8 @@
     }
 }
 
-/// Returns an id for a backend that is not among `ids`. It is made from the FNV-1a hash of the backend's name, so that
-/// all gateways use the same id and it stays when the backend restarts or changes its address.
+/// Returns an id for a backend that is not among `ids`. It is made from the FNV-1a hash of the backend's name, so
+/// that all gateways use the same id and it stays when the backend restarts or changes its address.
 fn backend_id(name: &str, ids: &HashSet<BackendId>) -> BackendId {
     let mut hash = fnv1a(name.as_bytes());
     loop {
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -35,18 +35,19 @@
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// A connection without a request is closed after this time.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often all connections are checked, and how often while a request waits for its answer. Usually the runtime
-/// reports at once that a waiting client has closed its connection; the checks find the cases that it does not
-/// report.
+/// The interval between checks of all connections.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
+/// The interval between checks while a request waits for its answer. Usually the runtime reports at once that its
+/// client has closed the connection; the checks find the cases that it does not report.
 const WATCH_INTERVAL_WAITING: Duration = Duration::from_millis(40);
 /// During a drain, connections close after their next answer; after this time, idle ones are closed as well, except
 /// new ones that may be about to send a request. They are to be closed by 2 s, so that no request taken later is
 /// still in progress at 4 s.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
-/// How often and how long each time a new connection waits for room. In total, this is longer than a connection may
-/// take to send a request head before it can be evicted.
+/// How often a new connection waits for room, for [`ROOM_WAIT`] each time. In total, this is longer than a connection
+/// may take to send a request head before it can be evicted.
 const MAX_ROOM_WAITS: u32 = 40;
+/// How long a new connection waits before it tries again to evict another. Also the pause after a failed accept.
 const ROOM_WAIT: Duration = Duration::from_millis(10);
 
 /// The server for client connections.
@@ -54,8 +55,9 @@
     driver: Driver,
     metrics: Rc<Metrics>,
     max_connections: Cell<usize>,
-    /// Whether this process accepts connections, and whether another process of this gateway goes on after it.
+    /// Whether this process has begun to accept connections.
     accepting: Cell<bool>,
+    /// Whether another process of this gateway serves and goes on after this one.
     successor_serving: Cell<bool>,
     body_budget: Budget,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
@@ -66,7 +68,8 @@
     request_waiting: Notify,
 }
 
-/// The registration of a connection with the server, removed when the connection's task ends in whatever way.
+/// The registration of a connection, by its id, with the server. It is removed when the task of the connection ends,
+/// even by a panic.
 struct Registration(Rc<Server>, u64);
 
 impl Drop for Registration {
--- a/node/src/server/connection.rs
+++ b/node/src/server/connection.rs
@@ -102,8 +102,9 @@
     /// The socket with its counts of bytes read and written.
     pub meter: Rc<Meter>,
     phase: Cell<Phase>,
-    /// When the phase began, and the number of bytes read before.
+    /// When the phase began.
     phase_began: Cell<Instant>,
+    /// The number of bytes read before the phase began.
     read_before_phase: Cell<u64>,
     /// The number of bytes written when that number last changed, and the time of that.
     write_progress: Cell<(u64, Instant)>,
@@ -123,8 +124,9 @@
     graceful_close_reason: Cell<Option<CloseReason>>,
     /// Whether the connection closes after the answer that is being sent.
     pub last_answer: Cell<bool>,
-    /// The number of requests received, and the correlation id of the last one.
+    /// The number of requests received.
     request_count: Cell<u64>,
+    /// The correlation id of the last request.
     last_correlation_id: RefCell<Option<Rc<str>>>,
     guard: Rc<Guard>,
     serving_task: OnceCell<AbortHandle>,
