--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -15,7 +15,7 @@
     backend: BackendId,
     /// How long the attempt may take, in microseconds.
     timeout: Option<Micros>,
-    /// The latest time at which the request may be written to the backend.
+    /// The time from which on the attempt may no longer begin.
     begin_by: Option<Micros>,
     reason: SendReason,
 }
