--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -64,7 +64,7 @@
     call_started_at: Instant,
     /// The number of consecutive calls that returned no list.
     consecutive_failures: u32,
-    /// How many of the latest of them in a row timed out.
+    /// The number of consecutive timeouts at the end of these failures.
     consecutive_timeouts: u32,
     last_logged_at: Option<Instant>,
     rng: fastrand::Rng,
--- a/node/src/handover/meeting_point.rs
+++ b/node/src/handover/meeting_point.rs
@@ -13,6 +13,7 @@
 /// The device and inode of a file, which identify it whatever its path.
 type FileId = (u64, u64);
 
+/// Returns the identity of the file at `path`, without following a symbolic link.
 fn file_id(path: &Path) -> io::Result<FileId> {
     std::fs::symlink_metadata(path).map(|file| (file.dev(), file.ino()))
 }
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -21,6 +21,7 @@
 /// The size of a line, including its end, that a writable pipe takes at once (`PIPE_BUF` on Linux). A longer line
 /// is cut.
 const MAX_LINE_BYTES: usize = 4096;
+/// The end of a line that has been cut.
 const CUT_MARK: &str = " ... (cut)";
 /// The environment variable that sets the level.
 const LEVEL_VARIABLE: &str = "NODE_LOG";
@@ -30,6 +31,7 @@
 /// The number of lost lines that no written line has reported yet.
 static LOST_UNREPORTED: AtomicU64 = AtomicU64::new(0);
 
+/// The logger that writes to standard error.
 struct StandardError;
 
 impl Log for StandardError {
@@ -69,6 +71,7 @@
     stderr.lock().write_all(line.as_bytes())
 }
 
+/// Cuts a line to the maximum size and marks it as cut.
 fn truncate(line: &mut String) {
     let max_bytes = MAX_LINE_BYTES - 1;
     if line.len() > max_bytes {
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -85,6 +85,7 @@
         }
     }
 
+    /// Serves the one call of a connection.
     async fn serve(self: Rc<Self>, stream: TcpStream) {
         let service = service_fn(|request| async { Ok::<_, Infallible>(self.answer(request).await) });
         let mut http = http1::Builder::new();
@@ -104,6 +105,7 @@
         answer
     }
 
+    /// Carries out a call.
     fn call(&self, method: &Method, path: &str, query: Option<&str>) -> Answer {
         let expected_method = match path {
             "/ready" | "/metrics" => Method::GET,
@@ -138,6 +140,7 @@
         }
     }
 
+    /// Disables or enables the backend that the query names, here and in the other processes of this gateway.
     fn set_backend_disabled(&self, query: &str, disabled: bool) -> Answer {
         let mut ids = form_urlencoded::parse(query.as_bytes()).filter(|(name, _)| name == "id");
         let (Some((_, id)), None) = (ids.next(), ids.next()) else {
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -28,7 +28,7 @@
 /// The upper bound on the longest deadline of the classes, where it sets how long requests may go on after
 /// SIGTERM.
 const MAX_ANSWER_DEADLINE: Duration = Duration::from_secs(3);
-/// The time for requests after that deadline.
+/// How long requests may go on after SIGTERM beyond the longest deadline.
 const ANSWER_DEADLINE_MARGIN: Duration = Duration::from_millis(300);
 /// How often each of two processes reports its open connections to the other, if they have changed.
 const SHARING_INTERVAL: Duration = Duration::from_millis(50);
@@ -41,7 +41,7 @@
 const MAX_LISTEN_WAIT: Duration = Duration::from_secs(20);
 /// How long a process that ends without a successor tries to add its remaining units to the counter.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often it checks whether they have been added.
+/// How often a process that ends checks whether its remaining units have been added.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(5);
 /// How often an ending process checks whether it is done.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
