--- a/node/tests/connections.rs
+++ b/node/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to backends that end or are established while other events happen. Each test forces one unfavourable order of
-//! events every time.
+//! Connections to backends that end or are established while other events happen. Each test forces one unfavourable
+//! order of events every time.
 
 mod common;
 
