--- a/soak/shim/src/control.rs
+++ b/soak/shim/src/control.rs
@@ -28,9 +28,9 @@
     /// `send` and `writev`, for Internet sockets: takes a part.
     ShortSend,
     /// `epoll_wait`.
-    Wait,
+    EpollWait,
     /// `write` to standard error.
-    Log,
+    LogWrite,
     /// `bind`, for Internet and Unix sockets.
     Bind,
 }
@@ -49,9 +49,9 @@
 
 /// What the page holds.
 #[repr(C)]
-pub struct Control {
+pub struct ControlPage {
     /// Added to the wall clock, in microseconds.
-    pub wall_clock_offset: AtomicI64,
+    pub wall_clock_offset_us: AtomicI64,
     /// One for each fault point.
     pub faults: [Fault; FAULT_POINTS],
 }
--- a/soak/shim/src/lib.rs
+++ b/soak/shim/src/lib.rs
@@ -5,7 +5,7 @@
 
 mod control;
 
-use control::{Control, FaultPoint, CONTROL_BYTES, CONTROL_VARIABLE};
+use control::{ControlPage, FaultPoint, CONTROL_BYTES, CONTROL_VARIABLE};
 use libc::{c_int, c_long, c_void, iovec, size_t, sockaddr, socklen_t, ssize_t, timespec};
 use std::cell::Cell;
 use std::ffi::CString;
@@ -17,14 +17,14 @@
 /// Descriptors above this are not told apart.
 const MAX_TRACKED: usize = 4096;
 
-struct Page(*const Control);
+struct Page(*const ControlPage);
 
 // SAFETY: the page is never unmapped, and all of it is atomic words.
 unsafe impl Send for Page {}
 // SAFETY: as above.
 unsafe impl Sync for Page {}
 
-fn page() -> Option<&'static Control> {
+fn page() -> Option<&'static ControlPage> {
     static PAGE: OnceLock<Option<Page>> = OnceLock::new();
     let page = PAGE.get_or_init(map_page).as_ref()?;
     // SAFETY: the mapping has the size of the page at the least, is aligned to it, and stays.
@@ -192,7 +192,7 @@
         return fail(errno) as ssize_t;
     }
     if fd == libc::STDERR_FILENO {
-        if let Some(errno) = drawn(FaultPoint::Log) {
+        if let Some(errno) = drawn(FaultPoint::LogWrite) {
             return fail(errno) as ssize_t;
         }
     }
@@ -206,7 +206,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, from: *const c_void, size: size_t) -> ssize_t {
     if fd == libc::STDERR_FILENO {
-        if let Some(errno) = drawn(FaultPoint::Log) {
+        if let Some(errno) = drawn(FaultPoint::LogWrite) {
             return fail(errno) as ssize_t;
         }
     }
@@ -217,7 +217,7 @@
 /// As for `epoll_wait(2)`.
 #[no_mangle]
 pub unsafe extern "C" fn epoll_wait(fd: c_int, to: *mut libc::epoll_event, most: c_int, ms: c_int) -> c_int {
-    match drawn(FaultPoint::Wait) {
+    match drawn(FaultPoint::EpollWait) {
         Some(errno) => fail(errno),
         None => {
             let no_mask: *const c_void = std::ptr::null();
@@ -231,7 +231,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut timespec) -> c_int {
     let done = libc::syscall(libc::SYS_clock_gettime, clock, to) as c_int;
-    let offset = page().map_or(0, |page| page.wall_clock_offset.load(Relaxed));
+    let offset = page().map_or(0, |page| page.wall_clock_offset_us.load(Relaxed));
     if done == 0 && clock == libc::CLOCK_REALTIME && offset != 0 {
         let time = &mut *to;
         let all = time.tv_sec * NANOSECONDS + time.tv_nsec + offset * 1000;
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{read_body, read_head, Buffered, PlainStream};
 use crate::scenario::{Scenario, GREEDY_CUSTOMER, GREEDY_PLAN, USUAL_PLAN};
-use crate::trace::{ClientEnd, Effect, Event, RequestId, SentRequest, Trace};
+use crate::trace::{ClientOutcome, Effect, Event, RequestId, SentRequest, Trace};
 use fastrand::Rng;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -248,7 +248,7 @@
         let Some((stream, used)) = self.connection(planned.gateway, &mut random).await else { return };
         let end = self.send(&planned, stream, &mut random).await;
         // A request that crossed the end of a resting connection is sent once more.
-        if end == ClientEnd::Unread && used && self.may_open(planned.gateway) {
+        if end == ClientOutcome::Unread && used && self.may_open(planned.gateway) {
             if let Some(stream) = self.open(planned.gateway).await {
                 self.send(&planned, PlainStream::new(stream), &mut random).await;
             }
@@ -287,7 +287,7 @@
     }
 
     /// Sends one request and waits for what comes of it.
-    async fn send(&self, planned: &Planned, mut stream: PlainStream, random: &mut Rng) -> ClientEnd {
+    async fn send(&self, planned: &Planned, mut stream: PlainStream, random: &mut Rng) -> ClientOutcome {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
         let wait = self.wait(planned, random);
         let body = match planned.manner {
@@ -303,18 +303,18 @@
         }
         let usual = planned.manner == Manner::Usual && planned.customer != GREEDY_CUSTOMER;
         let long_answer = matches!(planned.manner, Manner::Downloads { .. });
-        self.trace.record(Event::Sent(SentRequest {
+        self.trace.record(Event::RequestSent(SentRequest {
             id,
             gateway: planned.gateway,
             effect: planned.effect,
             customer: planned.customer,
-            wait,
+            timeout: wait,
             long_answer,
-            usual,
+            counts_for_recovery: usual,
         }));
         if let Manner::Leaves { after, resets } = planned.manner {
             if let Ok(answered) = timeout(after, self.answer(id, &mut stream)).await {
-                self.trace.record(Event::Ended { id, end: answered.clone() });
+                self.trace.record(Event::RequestEnded { id, end: answered.clone() });
                 return answered;
             }
             if resets {
@@ -322,18 +322,18 @@
             }
             drop(stream);
             self.trace.record(Event::ClientLeft { id });
-            self.trace.record(Event::Ended { id, end: ClientEnd::Left });
-            return ClientEnd::Left;
+            self.trace.record(Event::RequestEnded { id, end: ClientOutcome::Left });
+            return ClientOutcome::Left;
         }
         let patience = if long_answer { LONG_ANSWER_TIME } else { wait + SILENCE };
-        let end = timeout(patience, self.answer(id, &mut stream)).await.unwrap_or(ClientEnd::Silent);
-        if matches!(end, ClientEnd::Answered { .. }) {
+        let end = timeout(patience, self.answer(id, &mut stream)).await.unwrap_or(ClientOutcome::NoAnswer);
+        if matches!(end, ClientOutcome::Answered { .. }) {
             let mut idle = self.idle(planned.gateway);
             if idle.len() < MAX_IDLE {
                 idle.push(stream);
             }
         }
-        self.trace.record(Event::Ended { id, end: end.clone() });
+        self.trace.record(Event::RequestEnded { id, end: end.clone() });
         end
     }
 
@@ -343,16 +343,16 @@
         head: &[u8],
         body: &[u8],
         slowly: bool,
-    ) -> Result<(), ClientEnd> {
+    ) -> Result<(), ClientOutcome> {
         let mut message = head.to_vec();
         let pieces: Vec<&[u8]> = body.chunks(16 * 1024).collect();
         if pieces.len() <= 1 {
             message.extend_from_slice(body);
         }
-        stream.stream.write_all(&message).await.map_err(|_| ClientEnd::Unread)?;
+        stream.stream.write_all(&message).await.map_err(|_| ClientOutcome::Unread)?;
         if pieces.len() > 1 {
             for piece in pieces {
-                stream.stream.write_all(piece).await.map_err(|_| ClientEnd::Cut)?;
+                stream.stream.write_all(piece).await.map_err(|_| ClientOutcome::Truncated)?;
                 if slowly {
                     sleep(Duration::from_millis(30)).await;
                 }
@@ -362,19 +362,19 @@
     }
 
     /// Reads an answer to its end, whatever that is.
-    async fn answer(&self, id: RequestId, stream: &mut PlainStream) -> ClientEnd {
+    async fn answer(&self, id: RequestId, stream: &mut PlainStream) -> ClientOutcome {
         let head = match read_head(stream).await {
             Ok(Some(head)) => head,
             Ok(None) => return how_closed(stream).await,
-            Err(e) if stream.buffer().is_empty() && is_reset(&e) => return ClientEnd::Unread,
-            Err(_) => return ClientEnd::Cut,
+            Err(e) if stream.buffer().is_empty() && is_reset(&e) => return ClientOutcome::Unread,
+            Err(_) => return ClientOutcome::Truncated,
         };
         match read_body(stream, &head, head.status() == 200).await {
             Ok(seen) => {
                 let body_fits = head.status() != 200 || seen.beginning == format!("{id:016x}").into_bytes();
-                ClientEnd::Answered { status: head.status(), body_fits }
+                ClientOutcome::Answered { status: head.status(), body_fits }
             }
-            Err(_) => ClientEnd::Cut,
+            Err(_) => ClientOutcome::Truncated,
         }
     }
 
@@ -478,10 +478,10 @@
 }
 
 /// Whether a connection that was closed had unread bytes: a reset follows the close then.
-async fn how_closed(stream: &mut PlainStream) -> ClientEnd {
+async fn how_closed(stream: &mut PlainStream) -> ClientOutcome {
     sleep(RESET_FOLLOWS).await;
     match stream.stream.take_error() {
-        Ok(Some(e)) if is_reset(&e) => ClientEnd::Unread,
-        _ => ClientEnd::Closed,
+        Ok(Some(e)) if is_reset(&e) => ClientOutcome::Unread,
+        _ => ClientOutcome::Closed,
     }
 }
--- a/soak/src/director.rs
+++ b/soak/src/director.rs
@@ -8,7 +8,7 @@
 use crate::stand_in::backend::BackendMode;
 use crate::stand_in::counter::CounterMode;
 use crate::stand_in::discovery::{backend_name, DiscoveryMode};
-use crate::trace::{Event, ToldState};
+use crate::trace::{BackendState, Event};
 use crate::trouble::{Trouble, TroubleKind};
 use crate::world::World;
 use fastrand::Rng;
@@ -107,7 +107,7 @@
             TroubleKind::ShortReads => self.calls_fail(FaultPoint::ShortReceive, SOME_CALLS).await,
             TroubleKind::ShortWrites => self.calls_fail(FaultPoint::ShortSend, SOME_CALLS).await,
             TroubleKind::PathBreaks => self.calls_fail(FaultPoint::Receive, SOME_CALLS / 10).await,
-            TroubleKind::LogFull => self.calls_fail(FaultPoint::Log, 1000).await,
+            TroubleKind::LogFull => self.calls_fail(FaultPoint::LogWrite, 1000).await,
             TroubleKind::LogStalls | TroubleKind::LogCloses => self.log().await,
             TroubleKind::LinkSilent => self.links(LinkMode::Silent).await,
             TroubleKind::LinkOneWay => self.links(LinkMode::AnswersHeld).await,
@@ -117,8 +117,8 @@
             }
             TroubleKind::LinkResets => self.link_resets().await,
             TroubleKind::DiscoverySilent => self.discovery(DiscoveryMode::Silent).await,
-            TroubleKind::DiscoveryCrowded => self.discovery(DiscoveryMode::Crowded).await,
-            TroubleKind::DiscoveryWholeLists => self.discovery(DiscoveryMode::WholeLists).await,
+            TroubleKind::DiscoveryCrowded => self.discovery(DiscoveryMode::Overloaded).await,
+            TroubleKind::DiscoveryWholeLists => self.discovery(DiscoveryMode::FullSnapshots).await,
             TroubleKind::DiscoverySlow => {
                 let by = if self.world.scenario.settings.pushed { 60 } else { 700 };
                 let by = self.some_ms(by);
@@ -196,7 +196,7 @@
             sleep(lasted).await;
             processes.iter().for_each(|process| process.signal(Signal::SIGCONT));
             for gateway in self.gateways() {
-                self.world.trace.record(Event::Paused { gateway, lasted });
+                self.world.trace.record(Event::ProcessPaused { gateway, duration: lasted });
             }
             sleep(Duration::from_millis(100) + self.some_ms(200)).await;
         }
@@ -235,7 +235,7 @@
         let Some(process) = gateway.current() else { return };
         let call = if out { "disable" } else { "enable" };
         let target = format!("/backends/{call}?id={}", backend_name(backend));
-        let before = Event::Banned { gateway: gateway.index, backend, out };
+        let before = Event::BackendDisabled { gateway: gateway.index, backend, disabled: out };
         if !out {
             // From the call on it may be used again.
             self.world.trace.record(before.clone());
@@ -294,7 +294,7 @@
             FaultPoint::Socket => &[libc::ENFILE, libc::ENOBUFS],
             FaultPoint::Connect => &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS],
             FaultPoint::Receive => &[libc::ETIMEDOUT, libc::EHOSTUNREACH],
-            FaultPoint::Log => &[libc::ENOSPC, libc::EIO],
+            FaultPoint::LogWrite => &[libc::ENOSPC, libc::EIO],
             _ => &[0],
         };
         let errno = errors[self.random.usize(..errors.len())];
@@ -305,7 +305,7 @@
     }
 
     async fn interrupted(&mut self) {
-        let points = [FaultPoint::Receive, FaultPoint::Send, FaultPoint::Wait];
+        let points = [FaultPoint::Receive, FaultPoint::Send, FaultPoint::EpollWait];
         let processes = self.processes();
         for process in &processes {
             points.iter().for_each(|point| process.shim.set(*point, SOME_CALLS, libc::EINTR));
@@ -353,60 +353,60 @@
 
     async fn discovery(&mut self, mode: DiscoveryMode) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.discovery.set(*gateway, mode));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_mode(*gateway, mode));
         self.until_end().await;
-        gateways.iter().for_each(|gateway| self.world.discovery.set(*gateway, DiscoveryMode::Well));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_mode(*gateway, DiscoveryMode::Normal));
     }
 
     async fn discovery_down(&mut self) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.discovery.set_open(*gateway, false));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_accepting(*gateway, false));
         self.until_end().await;
-        gateways.iter().for_each(|gateway| self.world.discovery.set_open(*gateway, true));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_accepting(*gateway, true));
     }
 
     async fn counter(&mut self, mode: CounterMode) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.counter.set(*gateway, mode));
+        gateways.iter().for_each(|gateway| self.world.counter.set_mode(*gateway, mode));
         self.until_end().await;
-        gateways.iter().for_each(|gateway| self.world.counter.set(*gateway, CounterMode::Well));
+        gateways.iter().for_each(|gateway| self.world.counter.set_mode(*gateway, CounterMode::Normal));
     }
 
     async fn counter_away(&mut self) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.counter.set_open(*gateway, false));
+        gateways.iter().for_each(|gateway| self.world.counter.set_accepting(*gateway, false));
         self.until_end().await;
-        gateways.iter().for_each(|gateway| self.world.counter.set_open(*gateway, true));
+        gateways.iter().for_each(|gateway| self.world.counter.set_accepting(*gateway, true));
     }
 
     async fn backend_mode(&mut self, mode: BackendMode) {
         for backend in self.backends() {
-            self.world.backends[backend].set(mode);
+            self.world.backends[backend].set_mode(mode);
         }
         self.until_end().await;
         for backend in self.backends() {
-            self.world.backends[backend].set(BackendMode::Well);
+            self.world.backends[backend].set_mode(BackendMode::Healthy);
         }
     }
 
     async fn backend_closes_idle(&mut self) {
         let idle = Duration::from_millis(5) + self.some_ms(150);
         for backend in self.backends() {
-            self.world.backends[backend].close_idle_after(Some(idle));
+            self.world.backends[backend].set_idle_close(Some(idle));
         }
         self.until_end().await;
         for backend in self.backends() {
-            self.world.backends[backend].close_idle_after(None);
+            self.world.backends[backend].set_idle_close(None);
         }
     }
 
     async fn backend_connects_late(&mut self) {
         for backend in self.backends() {
-            self.world.backends[backend].set_stuck(true);
+            self.world.backends[backend].set_backlog_full(true);
         }
         self.until_end().await;
         for backend in self.backends() {
-            self.world.backends[backend].set_stuck(false);
+            self.world.backends[backend].set_backlog_full(false);
         }
     }
 
@@ -414,13 +414,13 @@
         let (world, backend) = (self.world, self.trouble.backend);
         let Ok(_held) = world.backend_lifecycles[backend].try_lock() else { return };
         let since = world.discovery.registry.since_ms(backend);
-        world.discovery.registry.publish(backend, ToldState::Draining, since);
+        world.discovery.registry.publish(backend, BackendState::Draining, since);
         if self.random.bool() {
-            world.backends[backend].set(BackendMode::TurnsAway);
+            world.backends[backend].set_mode(BackendMode::Rejects);
         }
         self.until_end().await;
-        world.discovery.registry.publish(backend, ToldState::Gone, since);
-        world.backends[backend].die();
+        world.discovery.registry.publish(backend, BackendState::Deleted, since);
+        world.backends[backend].crash();
         sleep(RESTART_PAUSE + self.some_ms(400)).await;
         self.start_backend(backend);
     }
@@ -429,10 +429,10 @@
         let (world, backend) = (self.world, self.trouble.backend);
         let Ok(_held) = world.backend_lifecycles[backend].try_lock() else { return };
         let since = world.discovery.registry.since_ms(backend);
-        world.backends[backend].die();
+        world.backends[backend].crash();
         if self.random.bool() {
             sleep(self.some_ms(300)).await;
-            world.discovery.registry.publish(backend, ToldState::Gone, since);
+            world.discovery.registry.publish(backend, BackendState::Deleted, since);
         }
         self.until_end().await;
         self.start_backend(backend);
@@ -440,7 +440,7 @@
 
     fn start_backend(&self, backend: usize) {
         self.world.backends[backend].start_cold();
-        self.world.discovery.registry.publish(backend, ToldState::Serving, unix_ms());
+        self.world.discovery.registry.publish(backend, BackendState::Serving, unix_ms());
     }
 
     async fn mood(&self, mood: &AtomicU32, per_mille: u32) {
--- a/soak/src/gateway.rs
+++ b/soak/src/gateway.rs
@@ -88,7 +88,7 @@
             "name": format!("n{}", self.index), "listen": self.address,
             "discovery": discovery.address(self.index), "counter": counter.address(self.index),
             "seed": format!("{:016x}", self.seed.wrapping_add(self.index as u64 * 7919)),
-            "limits": self.limits, "known": discovery.registry.known(self.index), "settings": self.settings,
+            "limits": self.limits, "known": discovery.registry.initial_list(self.index), "settings": self.settings,
         });
         Ok(std::fs::write(&self.config, config.to_string())?)
     }
--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -2,7 +2,7 @@
 
 use super::view::{AttemptSeen, View, SOCKET_SLACK, TOLERANCE};
 use super::{Found, Invariant};
-use crate::trace::{Entry, Event, GatewayIndex, Moment, ToldState};
+use crate::trace::{BackendState, Entry, Event, GatewayIndex, Moment};
 use std::time::Duration;
 
 /// What discovery had counts as told when it could be reached for so long.
@@ -45,8 +45,8 @@
 /// What one gateway was told of one backend.
 struct Timeline {
     /// States as written to it, and as known to discovery.
-    told: Vec<(Moment, ToldState)>,
-    published: Vec<(Moment, ToldState)>,
+    told: Vec<(Moment, BackendState)>,
+    published: Vec<(Moment, BackendState)>,
     /// When its discovery could be reached, or no longer.
     well: Vec<(Moment, bool)>,
     /// Processes of the gateway.
@@ -60,17 +60,19 @@
             Timeline { told: vec![], published: vec![], well: vec![], starts: vec![], bans: vec![] };
         for Entry { at, event } in view.entries {
             match event {
-                Event::Told { gateway: g, backend: b, state } if (*g, *b) == (gateway, backend) => {
+                Event::StateDelivered { gateway: g, backend: b, state } if (*g, *b) == (gateway, backend) => {
                     timeline.told.push((*at, *state))
                 }
-                Event::Published { backend: b, state } if *b == backend => {
+                Event::StatePublished { backend: b, state } if *b == backend => {
                     timeline.published.push((*at, *state))
                 }
-                Event::DiscoveryWell { gateway: g, well } if *g == gateway => {
+                Event::DiscoveryAvailability { gateway: g, available: well } if *g == gateway => {
                     timeline.well.push((*at, *well))
                 }
-                Event::Started { gateway: g, .. } if *g == gateway => timeline.starts.push(*at),
-                Event::Banned { gateway: g, backend: b, out } if (*g, *b) == (gateway, backend) => {
+                Event::ProcessStarted { gateway: g, .. } if *g == gateway => timeline.starts.push(*at),
+                Event::BackendDisabled { gateway: g, backend: b, disabled: out }
+                    if (*g, *b) == (gateway, backend) =>
+                {
                     timeline.bans.push((*at, *out))
                 }
                 _ => {}
@@ -85,8 +87,8 @@
         let mut running = 0;
         for Entry { at, event } in view.entries {
             match event {
-                Event::Started { gateway: g, .. } if *g == gateway => running += 1,
-                Event::Exited { gateway: g, .. } if *g == gateway => {
+                Event::ProcessStarted { gateway: g, .. } if *g == gateway => running += 1,
+                Event::ProcessExited { gateway: g, .. } if *g == gateway => {
                     running -= 1;
                     if running == 0 {
                         self.bans.push((*at, false));
@@ -146,8 +148,8 @@
 }
 
 /// The beginning of the run of states other than serving that is in force then.
-fn unwanted_run(states: &[(Moment, ToldState)], at: Moment) -> Option<Moment> {
+fn unwanted_run(states: &[(Moment, BackendState)], at: Moment) -> Option<Moment> {
     let before: Vec<_> = states.iter().filter(|(t, _)| *t <= at).collect();
-    let run = before.iter().rev().take_while(|(_, state)| *state != ToldState::Serving);
+    let run = before.iter().rev().take_while(|(_, state)| *state != BackendState::Serving);
     run.last().map(|(t, _)| *t)
 }
--- a/soak/src/oracle/health.rs
+++ b/soak/src/oracle/health.rs
@@ -2,7 +2,7 @@
 
 use super::view::View;
 use super::{Found, Invariant};
-use crate::trace::{ClientEnd, Entry, Event, Moment, SentRequest};
+use crate::trace::{ClientOutcome, Entry, Event, Moment, SentRequest};
 use std::time::Duration;
 
 /// A process is ready by then.
@@ -27,17 +27,25 @@
 fn check_event(at: Moment, event: &Event, found: &mut Vec<Found>) {
     let mut broke = |invariant, what| found.push(Found::new(invariant, at, what));
     match event {
-        Event::Exited { gateway, pid, how, expected: false } => {
+        Event::ProcessExited { gateway, pid, exit_status: how, expected: false } => {
             broke(Invariant::Process, format!("process {pid} of gateway {gateway} ended by itself: {how}"))
         }
-        Event::Ready { pid, after } if after.is_none_or(|after| after > READY) => {
+        Event::ProcessReady { pid, after } if after.is_none_or(|after| after > READY) => {
             broke(Invariant::Process, format!("process {pid} ready after {after:?}"))
         }
-        Event::FiguresMissing { gateway } => {
+        Event::FinalMetricsMissing { gateway } => {
             broke(Invariant::Serves, format!("gateway {gateway} does not answer its operators"))
         }
         Event::LogAlarm { line } => broke(Invariant::Guard, line.clone()),
-        Event::Figures { gateway, violations, descriptors, descriptors_ready, memory_kb, tasks, healthy } => {
+        Event::FinalMetrics {
+            gateway,
+            violations,
+            descriptors,
+            descriptors_when_ready: descriptors_ready,
+            memory_kb,
+            tasks,
+            healthy,
+        } => {
             if !healthy {
                 broke(Invariant::Serves, format!("gateway {gateway} is not ready at the end"));
             }
@@ -68,14 +76,15 @@
 /// Requests inside their quotas, sent in the time in which all is to be well again.
 fn measured<'a>(view: &View<'a>) -> Option<Vec<&'a SentRequest>> {
     let (from, to) = view.measure?;
-    let usual = view.sent.values().filter(|(at, request)| request.usual && *at >= from && *at < to);
+    let usual =
+        view.sent.values().filter(|(at, request)| request.counts_for_recovery && *at >= from && *at < to);
     Some(usual.map(|(_, request)| *request).collect())
 }
 
 /// The part of some requests that was served.
 fn part_served(view: &View<'_>, requests: &[&SentRequest]) -> f64 {
     let served = |request: &&&SentRequest| {
-        matches!(view.ended.get(&request.id), Some((_, ClientEnd::Answered { status: 200, .. })))
+        matches!(view.ended.get(&request.id), Some((_, ClientOutcome::Answered { status: 200, .. })))
     };
     requests.iter().filter(served).count() as f64 / requests.len().max(1) as f64
 }
--- a/soak/src/oracle/limits.rs
+++ b/soak/src/oracle/limits.rs
@@ -3,7 +3,7 @@
 use super::view::View;
 use super::{Found, Invariant};
 use crate::scenario::{GREEDY_CUSTOMER, GREEDY_PLAN};
-use crate::trace::{AttemptEnd, BackendIndex, Entry, Event, GatewayIndex, Moment, ToldState};
+use crate::trace::{AttemptOutcome, BackendIndex, BackendState, Entry, Event, GatewayIndex, Moment};
 use std::time::Duration;
 
 /// Of a fall, this part must have come from gateways that had been told of the start.
@@ -66,9 +66,9 @@
     start: Moment,
     at: Moment,
 ) -> bool {
-    let serving = ToldState::Serving;
+    let serving = BackendState::Serving;
     view.entries.iter().filter(|e| e.at >= start && e.at <= at).any(|e| {
-        matches!(&e.event, Event::Told { gateway: g, backend: b, state } if (*g, *b, *state) == (gateway, backend, serving))
+        matches!(&e.event, Event::StateDelivered { gateway: g, backend: b, state } if (*g, *b, *state) == (gateway, backend, serving))
     })
 }
 
@@ -106,7 +106,7 @@
         found.push(Found::new(Invariant::Quota, to, what));
     }
     let served = view.attempts.iter().filter(|a| a.began >= from && a.began < to);
-    let served = served.filter(|a| matches!(a.end, Some((_, AttemptEnd::Served))));
+    let served = served.filter(|a| matches!(a.end, Some((_, AttemptOutcome::Served))));
     let greedy = |id| view.sent.get(&id).is_some_and(|(_, request)| request.customer == GREEDY_CUSTOMER);
     let served = served.filter(|a| greedy(a.id)).count() as f64;
     if served < 0.5 * fits {
--- a/soak/src/oracle/mod.rs
+++ b/soak/src/oracle/mod.rs
@@ -63,13 +63,15 @@
     /// When, in milliseconds from the start of the run.
     pub at_ms: u64,
     /// What was seen.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The requests that it was seen with.
     pub requests: Vec<String>,
     /// Troubles at that time.
     pub troubles: Vec<String>,
     /// How often this invariant broke.
-    pub times: usize,
+    #[serde(rename = "times")]
+    pub occurrences: usize,
 }
 
 /// One break as an invariant's check finds it.
@@ -91,7 +93,7 @@
 }
 
 /// All that did not hold, a line for each invariant.
-pub fn judge(entries: &[Entry], scenario: &Scenario) -> Vec<Break> {
+pub fn find_breaks(entries: &[Entry], scenario: &Scenario) -> Vec<Break> {
     let view = View::of(entries, scenario);
     let mut found = Vec::new();
     requests::check(&view, &mut found);
@@ -104,16 +106,16 @@
         let request = f.request.map(|id| format!("{id:016x}"));
         match breaks.last_mut().filter(|b| b.invariant == f.invariant) {
             Some(last) => {
-                last.times += 1;
-                last.requests.extend(request.filter(|_| last.times <= MAX_TOLD));
+                last.occurrences += 1;
+                last.requests.extend(request.filter(|_| last.occurrences <= MAX_TOLD));
             }
             None => breaks.push(Break {
                 invariant: f.invariant,
                 at_ms: f.at.as_millis() as u64,
                 troubles: troubles_at(entries, scenario, f.at),
-                what: f.what,
+                description: f.what,
                 requests: request.into_iter().collect(),
-                times: 1,
+                occurrences: 1,
             }),
         }
     }
@@ -121,7 +123,7 @@
 }
 
 /// The part of the requests inside their quotas that is served at the end; `None` where the run did not get there.
-pub fn recovered(entries: &[Entry], scenario: &Scenario) -> Option<f64> {
+pub fn recovered_share(entries: &[Entry], scenario: &Scenario) -> Option<f64> {
     health::recovered(&View::of(entries, scenario))
 }
 
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -2,7 +2,7 @@
 
 use super::view::{AttemptSeen, View, SOCKET_SLACK, TOLERANCE};
 use super::{Found, Invariant};
-use crate::trace::{AttemptEnd, ClientEnd, Effect, Event, Moment, RequestId, SentRequest};
+use crate::trace::{AttemptOutcome, ClientOutcome, Effect, Event, Moment, RequestId, SentRequest};
 use crate::trouble::TroubleKind;
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     }
     for entry in view.entries {
         match &entry.event {
-            Event::Unnamed { backend } => {
+            Event::AttemptWithoutId { backend } => {
                 let what = format!("backend {backend} got a request without an id");
                 found.push(Found::new(Invariant::TrueAnswer, entry.at, what));
             }
@@ -64,34 +64,36 @@
     if view.killed(request.gateway, sent, *at) {
         return;
     }
-    let due = sent + request.wait + LATE + TOLERANCE + view.paused(request.gateway, sent, *at);
+    let due = sent + request.timeout + LATE + TOLERANCE + view.paused(request.gateway, sent, *at);
     match end {
-        ClientEnd::Answered { status: 200, body_fits: false } => {
+        ClientOutcome::Answered { status: 200, body_fits: false } => {
             lost(Invariant::TrueAnswer, *at, "the answer is not that of a backend for it")
         }
-        ClientEnd::Answered { .. } if *at > due && !request.long_answer => {
-            let late = at.saturating_sub(sent + request.wait);
+        ClientOutcome::Answered { .. } if *at > due && !request.long_answer => {
+            let late = at.saturating_sub(sent + request.timeout);
             lost(Invariant::FinalAnswer, *at, &format!("answered {late:?} after its time"))
         }
-        ClientEnd::Answered { .. } | ClientEnd::Left => {}
-        ClientEnd::Silent => lost(Invariant::FinalAnswer, *at, "no answer, and the connection stayed open"),
-        ClientEnd::Closed => {
+        ClientOutcome::Answered { .. } | ClientOutcome::Left => {}
+        ClientOutcome::NoAnswer => {
+            lost(Invariant::FinalAnswer, *at, "no answer, and the connection stayed open")
+        }
+        ClientOutcome::Closed => {
             lost(Invariant::FinalAnswer, *at, "read, and the connection closed with no answer")
         }
-        ClientEnd::Unread if attempts > 0 => {
+        ClientOutcome::Unread if attempts > 0 => {
             lost(Invariant::FinalAnswer, *at, "sent on, and the connection reset with no answer")
         }
-        ClientEnd::Unread => {}
-        ClientEnd::Cut if !view.has_link_trouble() && all_served(view, id) => {
+        ClientOutcome::Unread => {}
+        ClientOutcome::Truncated if !view.has_link_trouble() && all_served(view, id) => {
             lost(Invariant::TrueAnswer, *at, "cut off, though its backend gave all of it")
         }
-        ClientEnd::Cut => {}
+        ClientOutcome::Truncated => {}
     }
 }
 
 fn all_served(view: &View<'_>, id: RequestId) -> bool {
     let attempts = view.by_request.get(&id);
-    let served = |place: &usize| matches!(view.attempts[*place].end, Some((_, AttemptEnd::Served)));
+    let served = |place: &usize| matches!(view.attempts[*place].end, Some((_, AttemptOutcome::Served)));
     attempts.is_some_and(|all| all.iter().all(served))
 }
 
@@ -136,7 +138,7 @@
     found: &mut Vec<Found>,
 ) {
     let ended = earlier.end.filter(|(at, _)| *at <= later.began);
-    let never_ran = matches!(ended, Some((_, AttemptEnd::TurnedAway)));
+    let never_ran = matches!(ended, Some((_, AttemptOutcome::Rejected)));
     let gap = later.began.saturating_sub(earlier.began);
     let window = Duration::from_millis(view.scenario.settings.key_window_ms);
     let broken = match request.effect {
@@ -160,7 +162,7 @@
 }
 
 fn check_deadline(attempt: &AttemptSeen, sent: Moment, request: &SentRequest, found: &mut Vec<Found>) {
-    let left = (sent + request.wait).saturating_sub(attempt.began);
+    let left = (sent + request.timeout).saturating_sub(attempt.began);
     let told = attempt.told.unwrap_or(Duration::MAX);
     if told > left + TOLD_SLACK + TOLERANCE / 2 {
         let what = format!("backend {} was told {told:?}, its client has {left:?} left", attempt.backend);
--- a/soak/src/oracle/view.rs
+++ b/soak/src/oracle/view.rs
@@ -2,7 +2,7 @@
 
 use crate::scenario::Scenario;
 use crate::trace::{
-    AttemptEnd, BackendIndex, ClientEnd, Entry, Event, GatewayIndex, Moment, RequestId, SentRequest,
+    AttemptOutcome, BackendIndex, ClientOutcome, Entry, Event, GatewayIndex, Moment, RequestId, SentRequest,
 };
 use crate::trouble::TroubleKind;
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
     /// The time that it was told to have.
     pub told: Option<Duration>,
     /// When and how it ended.
-    pub end: Option<(Moment, AttemptEnd)>,
+    pub end: Option<(Moment, AttemptOutcome)>,
 }
 
 /// The record by request, by attempt and by process.
@@ -40,7 +40,7 @@
     /// Requests and when their last byte was written.
     pub sent: HashMap<RequestId, (Moment, &'a SentRequest)>,
     /// How they ended.
-    pub ended: HashMap<RequestId, (Moment, &'a ClientEnd)>,
+    pub ended: HashMap<RequestId, (Moment, &'a ClientOutcome)>,
     /// When their clients left.
     pub left: HashMap<RequestId, Moment>,
     /// Attempts in the order in which they began.
@@ -74,10 +74,10 @@
         let mut measure = (None, None);
         for Entry { at, event } in entries {
             match event {
-                Event::Sent(request) => drop(view.sent.insert(request.id, (*at, request))),
-                Event::Ended { id, end } => drop(view.ended.insert(*id, (*at, end))),
+                Event::RequestSent(request) => drop(view.sent.insert(request.id, (*at, request))),
+                Event::RequestEnded { id, end } => drop(view.ended.insert(*id, (*at, end))),
                 Event::ClientLeft { id } => drop(view.left.insert(*id, *at)),
-                Event::AttemptBegan { id, backend, gateway, first_byte, told, attempt } => {
+                Event::AttemptBegan { id, backend, gateway, first_byte, stated_time_left: told, attempt } => {
                     numbers.insert(*attempt, view.attempts.len());
                     view.by_request.entry(*id).or_default().push(view.attempts.len());
                     view.attempts.push(AttemptSeen {
@@ -95,10 +95,12 @@
                         view.attempts[*place].end = Some((*at, *end));
                     }
                 }
-                Event::Killed { gateway, planned: false, .. } => view.kills.push((*gateway, *at)),
+                Event::ProcessKilled { gateway, planned: false, .. } => view.kills.push((*gateway, *at)),
                 // One that ends by itself is a break of its own; what it held is lost with it.
-                Event::Exited { gateway, expected: false, .. } => view.kills.push((*gateway, *at)),
-                Event::Paused { gateway, lasted } => view.pauses.push((*gateway, *at, *lasted)),
+                Event::ProcessExited { gateway, expected: false, .. } => view.kills.push((*gateway, *at)),
+                Event::ProcessPaused { gateway, duration: lasted } => {
+                    view.pauses.push((*gateway, *at, *lasted))
+                }
                 Event::MeasureBegan => measure.0 = Some(*at),
                 Event::MeasureEnded => measure.1 = Some(*at),
                 _ => {}
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -157,7 +157,7 @@
         let child = command.spawn().context("the gateway's program does not start")?;
         drop(command);
         let pid = child.id().context("no process")?;
-        trace.record(Event::Started { gateway: launch.gateway });
+        trace.record(Event::ProcessStarted { gateway: launch.gateway });
         let log = Arc::new(LogReader::default());
         let (reads, seen, gateway) = (log.clone(), trace.clone(), launch.gateway);
         std::thread::spawn(move || reads.read(reader, seen, gateway, pid));
@@ -198,7 +198,7 @@
         self.expected.store(true, Ordering::Relaxed);
         if !self.has_exited() {
             let planned = self.terminated.load(Ordering::Relaxed);
-            self.trace.record(Event::Killed { gateway: self.gateway, planned });
+            self.trace.record(Event::ProcessKilled { gateway: self.gateway, planned });
         }
         self.signal(Signal::SIGKILL);
     }
@@ -219,7 +219,7 @@
         let began = Instant::now();
         while began.elapsed() < READY_TIMEOUT && !self.has_exited() {
             if self.call("GET", "/ready").await.is_some_and(|(status, _)| status == 200) {
-                self.trace.record(Event::Ready { pid: self.pid, after: Some(began.elapsed()) });
+                self.trace.record(Event::ProcessReady { pid: self.pid, after: Some(began.elapsed()) });
                 self.descriptors_ready.store(self.descriptors(), Ordering::Relaxed);
                 self.memory_ready_kb.store(self.memory_kb() as usize, Ordering::Relaxed);
                 return true;
@@ -227,7 +227,7 @@
             sleep(READY_INTERVAL).await;
         }
         if !self.expected.load(Ordering::Relaxed) {
-            self.trace.record(Event::Ready { pid: self.pid, after: None });
+            self.trace.record(Event::ProcessReady { pid: self.pid, after: None });
         }
         false
     }
@@ -265,16 +265,16 @@
             .await
             .and_then(|(_, text)| serde_json::from_str::<serde_json::Value>(&text).ok());
         let Some(figures) = figures else {
-            return self.trace.record(Event::FiguresMissing { gateway });
+            return self.trace.record(Event::FinalMetricsMissing { gateway });
         };
         let guards = figures.get("guard_violations").and_then(|v| v.as_object());
         let violations = guards.into_iter().flat_map(|m| m.values()).filter_map(|v| v.as_u64()).sum();
         let healthy = self.call("GET", "/ready").await.is_some_and(|(status, _)| status == 200);
-        self.trace.record(Event::Figures {
+        self.trace.record(Event::FinalMetrics {
             gateway,
             violations,
             descriptors: self.descriptors(),
-            descriptors_ready: self.descriptors_ready.load(Ordering::Relaxed),
+            descriptors_when_ready: self.descriptors_ready.load(Ordering::Relaxed),
             memory_kb: (self.memory_kb(), self.memory_ready_kb.load(Ordering::Relaxed) as u64),
             tasks: figures.get("tasks").and_then(|v| v.as_u64()),
             healthy,
@@ -292,6 +292,6 @@
 ) {
     let how = child.wait().await.map_or_else(|e| e.to_string(), |status| status.to_string());
     let expected = expected.load(Ordering::Relaxed);
-    trace.record(Event::Exited { gateway, pid, how, expected });
+    trace.record(Event::ProcessExited { gateway, pid, exit_status: how, expected });
     exit.send_replace(true);
 }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -5,7 +5,7 @@
 use crate::oracle::{self, Break};
 use crate::process::Places;
 use crate::scenario::{Scenario, MEASURE, QUIET, RECOVERY};
-use crate::trace::{ClientEnd, Entry, Event};
+use crate::trace::{ClientOutcome, Entry, Event};
 use crate::world::World;
 use serde::Serialize;
 use std::path::{Path, PathBuf};
@@ -82,7 +82,7 @@
     let finished = timeout(LONGEST_RUN, perform(&world)).await.is_ok();
     lag.stop.store(true, Ordering::Relaxed);
     let entries = world.trace.entries();
-    let broken = oracle::judge(&entries, &world.scenario);
+    let broken = oracle::find_breaks(&entries, &world.scenario);
     for process in world.gateways.iter().flat_map(|gateway| gateway.running()) {
         process.kill();
         process.exit_within(Duration::from_secs(2)).await;
@@ -144,7 +144,7 @@
     for gateway in &world.gateways {
         match gateway.current() {
             Some(process) => process.record_figures().await,
-            None => world.trace.record(Event::FiguresMissing { gateway: gateway.index }),
+            None => world.trace.record(Event::FinalMetricsMissing { gateway: gateway.index }),
         }
     }
 }
@@ -198,10 +198,10 @@
     let count = |wanted: &dyn Fn(&Event) -> bool| entries.iter().filter(|e| wanted(&e.event)).count();
     let status = |wanted: &dyn Fn(u16) -> bool| {
         count(
-            &|e| matches!(e, Event::Ended { end: ClientEnd::Answered { status, .. }, .. } if wanted(*status)),
+            &|e| matches!(e, Event::RequestEnded { end: ClientOutcome::Answered { status, .. }, .. } if wanted(*status)),
         )
     };
-    let requests = count(&|e| matches!(e, Event::Sent(_)));
+    let requests = count(&|e| matches!(e, Event::RequestSent(_)));
     let (served, refused) = (status(&|s| s == 200), status(&|s| matches!(s, 429 | 503)));
     let failed = status(&|s| !matches!(s, 200 | 429 | 503));
     let describe = |t: &crate::trouble::Trouble| {
@@ -219,7 +219,7 @@
         refused,
         failed,
         otherwise: requests.saturating_sub(served + refused + failed),
-        recovered: oracle::recovered(entries, scenario),
+        recovered: oracle::recovered_share(entries, scenario),
         attempts: count(&|e| matches!(e, Event::AttemptBegan { .. })),
         max_lag_ms,
         seconds: lasted.as_secs_f64(),
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -5,7 +5,7 @@
 
 pub use control::{FaultPoint, CONTROL_VARIABLE};
 
-use control::{Control, CONTROL_BYTES};
+use control::{ControlPage, CONTROL_BYTES};
 use memmap2::MmapRaw;
 use std::fs::File;
 use std::path::Path;
@@ -22,12 +22,12 @@
         Ok(ShimControl(MmapRaw::map_raw(&file)?))
     }
 
-    fn page(&self) -> &Control {
+    fn page(&self) -> &ControlPage {
         // SAFETY: the mapping is as long as the page at the least, aligned to it, and lives as long as this; all of
         // it is atomic words, and the other side only reads.
         #[allow(unsafe_code)]
         unsafe {
-            &*self.0.as_ptr().cast::<Control>()
+            &*self.0.as_ptr().cast::<ControlPage>()
         }
     }
 
@@ -40,6 +40,6 @@
 
     /// Steps the wall clock, in microseconds.
     pub fn step_wall_clock(&self, by: i64) {
-        self.page().wall_clock_offset.store(by, Relaxed);
+        self.page().wall_clock_offset_us.store(by, Relaxed);
     }
 }
--- a/soak/src/stand_in/backend.rs
+++ b/soak/src/stand_in/backend.rs
@@ -3,7 +3,7 @@
 use crate::http::{query, read_body, read_head, Buffered, Head};
 use crate::link::{Link, LinkStream};
 use crate::scenario::Scenario;
-use crate::trace::{AttemptEnd, Event, Trace};
+use crate::trace::{AttemptOutcome, Event, Trace};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendMode {
     /// Nothing.
-    Well,
+    Healthy,
     /// It takes requests and answers none.
     Hangs,
     /// It resets half of the connections under requests.
@@ -34,7 +34,7 @@
     /// It answers most requests with an error.
     Errs,
     /// It turns everything away.
-    TurnsAway,
+    Rejects,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -86,7 +86,7 @@
             cold_from: settings.cold_from,
             warm_up: Duration::from_millis(settings.warm_up_ms),
             started: Mutex::new(None),
-            mode: watch::channel(BackendMode::Well).0,
+            mode: watch::channel(BackendMode::Healthy).0,
             listening: watch::channel(Listening::Open).0,
             idle_close: watch::channel(usual_idle_close).0,
             usual_idle_close,
@@ -102,17 +102,17 @@
     }
 
     /// Whatever is wrong with it, it goes on in this way.
-    pub fn set(&self, mode: BackendMode) {
+    pub fn set_mode(&self, mode: BackendMode) {
         self.mode.send_replace(mode);
     }
 
     /// Closes connections that have been idle for so long; `None`: for as long as usual.
-    pub fn close_idle_after(&self, idle: Option<Duration>) {
+    pub fn set_idle_close(&self, idle: Option<Duration>) {
         self.idle_close.send_replace(idle.unwrap_or(self.usual_idle_close));
     }
 
     /// Its process dies: connections are reset, new ones refused.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.listening.send_replace(Listening::Down);
         self.links.iter().for_each(|link| link.reset());
     }
@@ -121,12 +121,12 @@
     pub fn start_cold(&self) {
         *self.started.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
         self.trace.record(Event::BackendStarted { backend: self.index });
-        self.mode.send_replace(BackendMode::Well);
+        self.mode.send_replace(BackendMode::Healthy);
         self.listening.send_replace(Listening::Open);
     }
 
     /// New connections do not come up, or do so again.
-    pub fn set_stuck(&self, stuck: bool) {
+    pub fn set_backlog_full(&self, stuck: bool) {
         self.listening.send_if_modified(|listening| {
             let next = match (*listening, stuck) {
                 (Listening::Open, true) => Listening::Stuck,
@@ -228,39 +228,46 @@
     ) -> io::Result<Next> {
         let id = head.field("x-correlation-id").and_then(|v| u64::from_str_radix(v, 16).ok());
         let Some(id) = id else {
-            self.trace.record(Event::Unnamed { backend: self.index });
+            self.trace.record(Event::AttemptWithoutId { backend: self.index });
             return Ok(Next::Close);
         };
         let told = head.field("x-time-left-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
         let attempt = self.attempts.fetch_add(1, Ordering::Relaxed);
         let backend = self.index;
-        self.trace.record(Event::AttemptBegan { id, backend, gateway, first_byte, told, attempt });
+        self.trace.record(Event::AttemptBegan {
+            id,
+            backend,
+            gateway,
+            first_byte,
+            stated_time_left: told,
+            attempt,
+        });
         let (end, next) = self.work_on(id, stream, head).await;
         self.trace.record(Event::AttemptEnded { attempt, end });
         Ok(next)
     }
 
-    async fn work_on(&self, id: u64, stream: &mut LinkStream, head: &Head) -> (AttemptEnd, Next) {
+    async fn work_on(&self, id: u64, stream: &mut LinkStream, head: &Head) -> (AttemptOutcome, Next) {
         let lot = fastrand::f64();
         let mode = *self.mode.borrow();
         match mode {
             BackendMode::Hangs => {
                 let mut mode = self.mode.subscribe();
                 return tokio::select! {
-                    () = stream.closed() => (AttemptEnd::GivenUp, Next::Close),
-                    _ = mode.wait_for(|mode| *mode != BackendMode::Hangs) => (AttemptEnd::Broken, Next::Reset),
+                    () = stream.closed() => (AttemptOutcome::Cancelled, Next::Close),
+                    _ = mode.wait_for(|mode| *mode != BackendMode::Hangs) => (AttemptOutcome::Aborted, Next::Reset),
                 };
             }
             BackendMode::Resets if lot < 0.5 => {
                 return tokio::select! {
-                    () = stream.closed() => (AttemptEnd::GivenUp, Next::Close),
-                    () = sleep(self.work.mul_f64(2.0 * lot)) => (AttemptEnd::Broken, Next::Reset),
+                    () = stream.closed() => (AttemptOutcome::Cancelled, Next::Close),
+                    () = sleep(self.work.mul_f64(2.0 * lot)) => (AttemptOutcome::Aborted, Next::Reset),
                 };
             }
             BackendMode::Errs if lot < 0.7 => {
-                return self.say(stream, "500 Internal Server Error", "", AttemptEnd::Error).await;
+                return self.say(stream, "500 Internal Server Error", "", AttemptOutcome::Error).await;
             }
-            BackendMode::TurnsAway => return self.turn_away(stream).await,
+            BackendMode::Rejects => return self.turn_away(stream).await,
             _ => {}
         }
         if self.waiting.load(Ordering::Relaxed) >= MAX_WAITING {
@@ -276,14 +283,14 @@
             drop(slot);
         };
         tokio::select! {
-            () = stream.closed() => return (AttemptEnd::GivenUp, Next::Close),
+            () = stream.closed() => return (AttemptOutcome::Cancelled, Next::Close),
             () = worked => {}
         }
         self.serve(id, stream, head, lot).await
     }
 
-    async fn turn_away(&self, stream: &mut LinkStream) -> (AttemptEnd, Next) {
-        self.say(stream, "503 Service Unavailable", "x-unprocessed: 1\r\n", AttemptEnd::TurnedAway).await
+    async fn turn_away(&self, stream: &mut LinkStream) -> (AttemptOutcome, Next) {
+        self.say(stream, "503 Service Unavailable", "x-unprocessed: 1\r\n", AttemptOutcome::Rejected).await
     }
 
     async fn say(
@@ -291,17 +298,17 @@
         stream: &mut LinkStream,
         status: &str,
         fields: &str,
-        end: AttemptEnd,
-    ) -> (AttemptEnd, Next) {
+        end: AttemptOutcome,
+    ) -> (AttemptOutcome, Next) {
         let answer = format!("HTTP/1.1 {status}\r\n{fields}content-length: 0\r\n\r\n");
         match stream.write_all(answer.as_bytes()).await {
             Ok(()) => (end, Next::KeepOpen),
-            Err(_) => (AttemptEnd::Broken, Next::Close),
+            Err(_) => (AttemptOutcome::Aborted, Next::Close),
         }
     }
 
     /// Answers with the request's own id and as many bytes as it asks for, in one of three framings.
-    async fn serve(&self, id: u64, stream: &mut LinkStream, head: &Head, lot: f64) -> (AttemptEnd, Next) {
+    async fn serve(&self, id: u64, stream: &mut LinkStream, head: &Head, lot: f64) -> (AttemptOutcome, Next) {
         let size = query(head.target(), "size").and_then(|v| v.parse::<usize>().ok()).unwrap_or(16);
         let pause = query(head.target(), "pause_ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
         let mut body = format!("{id:016x}").into_bytes();
@@ -317,9 +324,9 @@
             Framing::ToEnd => "connection: close\r\n".to_owned(),
         };
         match self.write_answer(stream, fields, &body, framing, pause).await {
-            Ok(()) if framing == Framing::ToEnd => (AttemptEnd::Served, Next::Close),
-            Ok(()) => (AttemptEnd::Served, Next::KeepOpen),
-            Err(_) => (AttemptEnd::GivenUp, Next::Close),
+            Ok(()) if framing == Framing::ToEnd => (AttemptOutcome::Served, Next::Close),
+            Ok(()) => (AttemptOutcome::Served, Next::KeepOpen),
+            Err(_) => (AttemptOutcome::Cancelled, Next::Close),
         }
     }
 
--- a/soak/src/stand_in/counter.rs
+++ b/soak/src/stand_in/counter.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CounterMode {
     /// At once.
-    Well,
+    Normal,
     /// So much later.
     Slow(Duration),
     /// Not at all.
@@ -51,7 +51,7 @@
         let numbers = Arc::new(Numbers::default());
         let (mut doors, mut modes) = (Vec::new(), Vec::new());
         for ip in ips {
-            let mode = watch::channel(CounterMode::Well).0;
+            let mode = watch::channel(CounterMode::Normal).0;
             doors.push(Door::open(*ip, serving(&numbers, &mode)).await?);
             modes.push(mode);
         }
@@ -64,12 +64,12 @@
     }
 
     /// Answers a gateway in this way from now on.
-    pub fn set(&self, gateway: usize, mode: CounterMode) {
+    pub fn set_mode(&self, gateway: usize, mode: CounterMode) {
         self.modes[gateway].send_replace(mode);
     }
 
     /// Refuses a gateway's connections, or takes them again.
-    pub fn set_open(&self, gateway: usize, open: bool) {
+    pub fn set_accepting(&self, gateway: usize, open: bool) {
         self.doors[gateway].set_open(open);
     }
 
@@ -102,7 +102,7 @@
         };
         let now = *mode.borrow_and_update();
         match now {
-            CounterMode::Well => {}
+            CounterMode::Normal => {}
             CounterMode::Slow(by) => sleep(by).await,
             CounterMode::Silent => drop(mode.wait_for(|mode| *mode != CounterMode::Silent).await),
         }
--- a/soak/src/stand_in/discovery.rs
+++ b/soak/src/stand_in/discovery.rs
@@ -3,7 +3,7 @@
 use super::door::Door;
 use crate::http::{query, read_body, read_head};
 use crate::link::LinkStream;
-use crate::trace::{Event, ToldState, Trace};
+use crate::trace::{BackendState, Event, Trace};
 use serde_json::{json, Value};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,22 +15,22 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryMode {
     /// As it should.
-    Well,
+    Normal,
     /// Not at all.
     Silent,
     /// So much later.
     Slow(Duration),
     /// Seven calls in ten are turned away.
-    Crowded,
+    Overloaded,
     /// With whole lists, which leave out what drains.
-    WholeLists,
+    FullSnapshots,
 }
 
 #[derive(Clone, Copy)]
 struct Change {
     index: u64,
     backend: usize,
-    state: ToldState,
+    state: BackendState,
     since_ms: u64,
 }
 
@@ -47,17 +47,17 @@
     /// A registry in which all backends serve and have done so for long.
     pub fn new(trace: Arc<Trace>, addresses: Vec<Vec<SocketAddr>>) -> Arc<Self> {
         let backends = addresses.first().map_or(0, Vec::len);
-        let serving = |backend| Change { index: 1, backend, state: ToldState::Serving, since_ms: 0 };
+        let serving = |backend| Change { index: 1, backend, state: BackendState::Serving, since_ms: 0 };
         let changes = Mutex::new((0..backends).map(serving).collect());
         Arc::new(Registry { trace, changes, latest: watch::channel(1).0, addresses })
     }
 
     /// Takes in what has become of a backend; its start is in milliseconds of Unix time, 0 where that is long ago.
-    pub fn publish(&self, backend: usize, state: ToldState, since_ms: u64) {
+    pub fn publish(&self, backend: usize, state: BackendState, since_ms: u64) {
         let mut changes = self.changes.lock().unwrap_or_else(PoisonError::into_inner);
         let index = changes.last().map_or(1, |c| c.index) + 1;
         changes.push(Change { index, backend, state, since_ms });
-        self.trace.record(Event::Published { backend, state });
+        self.trace.record(Event::StatePublished { backend, state });
         drop(changes);
         self.latest.send_replace(index);
     }
@@ -77,9 +77,9 @@
 
     fn entry(&self, gateway: usize, change: &Change) -> Value {
         let status = match change.state {
-            ToldState::Serving => "SERVING",
-            ToldState::Draining => "DRAINING",
-            ToldState::Gone => "DELETED",
+            BackendState::Serving => "SERVING",
+            BackendState::Draining => "DRAINING",
+            BackendState::Deleted => "DELETED",
         };
         json!({"name": backend_name(change.backend), "address": self.addresses[gateway][change.backend], "zone": "a",
                "type": "k", "group": 0, "status": status, "weight": 1.0, "since_ms": change.since_ms})
@@ -90,21 +90,21 @@
         let index = *self.latest.borrow();
         let changes = self.last_changes(after.unwrap_or(0));
         let named = |c: &&Change| match c.state {
-            ToldState::Serving => true,
-            ToldState::Draining => after.is_some() || !without_drains,
-            ToldState::Gone => after.is_some(),
+            BackendState::Serving => true,
+            BackendState::Draining => after.is_some() || !without_drains,
+            BackendState::Deleted => after.is_some(),
         };
         let entries: Vec<Value> = changes.iter().filter(named).map(|c| self.entry(gateway, c)).collect();
         let told = changes.iter().map(|c| {
-            let state = if named(&c) { c.state } else { ToldState::Gone };
-            Event::Told { gateway, backend: c.backend, state }
+            let state = if named(&c) { c.state } else { BackendState::Deleted };
+            Event::StateDelivered { gateway, backend: c.backend, state }
         });
         let told = told.collect();
         (json!({"index": index, "snapshot": after.is_none(), "endpoints": entries}), told)
     }
 
     /// The list that a gateway is started with.
-    pub fn known(&self, gateway: usize) -> Value {
+    pub fn initial_list(&self, gateway: usize) -> Value {
         self.list(gateway, None, false).0
     }
 }
@@ -127,7 +127,7 @@
     pub async fn start(registry: Arc<Registry>, ips: &[IpAddr]) -> anyhow::Result<Self> {
         let (mut doors, mut modes) = (Vec::new(), Vec::new());
         for (gateway, ip) in ips.iter().enumerate() {
-            let mode = watch::channel(DiscoveryMode::Well).0;
+            let mode = watch::channel(DiscoveryMode::Normal).0;
             doors.push(Door::open(*ip, serving(&registry, gateway, &mode)).await?);
             modes.push(mode);
         }
@@ -140,16 +140,16 @@
     }
 
     /// Answers a gateway in this way from now on.
-    pub fn set(&self, gateway: usize, mode: DiscoveryMode) {
+    pub fn set_mode(&self, gateway: usize, mode: DiscoveryMode) {
         self.modes[gateway].send_replace(mode);
-        let well = matches!(mode, DiscoveryMode::Well | DiscoveryMode::WholeLists);
-        self.registry.trace.record(Event::DiscoveryWell { gateway, well });
+        let well = matches!(mode, DiscoveryMode::Normal | DiscoveryMode::FullSnapshots);
+        self.registry.trace.record(Event::DiscoveryAvailability { gateway, available: well });
     }
 
     /// Refuses a gateway's connections, or takes them again.
-    pub fn set_open(&self, gateway: usize, open: bool) {
+    pub fn set_accepting(&self, gateway: usize, open: bool) {
         self.doors[gateway].set_open(open);
-        self.registry.trace.record(Event::DiscoveryWell { gateway, well: open });
+        self.registry.trace.record(Event::DiscoveryAvailability { gateway, available: open });
     }
 
     /// Moves to another address for a gateway.
@@ -196,7 +196,7 @@
                 return;
             }
             DiscoveryMode::Slow(by) => sleep(by).await,
-            DiscoveryMode::Crowded if random.f64() < 0.7 => {
+            DiscoveryMode::Overloaded if random.f64() < 0.7 => {
                 let away = b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n";
                 if stream.write_all(away).await.is_err() {
                     return;
@@ -205,7 +205,7 @@
             }
             _ => {}
         }
-        let whole = now == DiscoveryMode::WholeLists;
+        let whole = now == DiscoveryMode::FullSnapshots;
         let (list, told) = registry.list(gateway, held.filter(|_| !whole), whole);
         let text = list.to_string();
         let answer = format!(
--- a/soak/src/trace.rs
+++ b/soak/src/trace.rs
@@ -35,16 +35,16 @@
     /// Its customer.
     pub customer: u64,
     /// How long the client waits.
-    pub wait: Duration,
+    pub timeout: Duration,
     /// The answer that it asks for may go on past its time.
     pub long_answer: bool,
     /// It asks within its quota, with usual time, and stays: such requests are to be served when all is well.
-    pub usual: bool,
+    pub counts_for_recovery: bool,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ClientEnd {
+pub enum ClientOutcome {
     /// A whole answer.
     Answered {
         /// Its status.
@@ -53,54 +53,54 @@
         body_fits: bool,
     },
     /// The connection ended within an answer.
-    Cut,
+    Truncated,
     /// The connection was reset, or closed over unread bytes: the request had not been read.
     Unread,
     /// The connection was closed after the request had been read, with no answer.
     Closed,
     /// Nothing came until long after the client's time.
-    Silent,
+    NoAnswer,
     /// The client left.
     Left,
 }
 
 /// How a backend ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// A whole good answer was written.
     Served,
     /// An error was answered.
     Error,
     /// Turned away, not run.
-    TurnedAway,
+    Rejected,
     /// The backend broke it off or left it without an answer.
-    Broken,
+    Aborted,
     /// The gateway ended the connection.
-    GivenUp,
+    Cancelled,
 }
 
 /// The state of a backend as discovery tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ToldState {
+pub enum BackendState {
     /// In service.
     Serving,
     /// Wants nothing new.
     Draining,
     /// Gone.
-    Gone,
+    Deleted,
 }
 
 /// One thing seen.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The last byte of a request was written.
-    Sent(SentRequest),
+    RequestSent(SentRequest),
     /// A request ended for its client.
-    Ended {
+    RequestEnded {
         /// The request.
         id: RequestId,
         /// How.
-        end: ClientEnd,
+        end: ClientOutcome,
     },
     /// A client closed its connection with a request out, or in the middle of one.
     ClientLeft {
@@ -125,7 +125,7 @@
         /// When its first byte came.
         first_byte: Moment,
         /// The time that it was told to have.
-        told: Option<Duration>,
+        stated_time_left: Option<Duration>,
         /// The number of the attempt, over all of the run.
         attempt: u64,
     },
@@ -134,44 +134,44 @@
         /// The number of the attempt.
         attempt: u64,
         /// How.
-        end: AttemptEnd,
+        end: AttemptOutcome,
     },
     /// An attempt reached a backend that names no request.
-    Unnamed {
+    AttemptWithoutId {
         /// The backend.
         backend: BackendIndex,
     },
     /// Discovery has written to a gateway what state a backend is in.
-    Told {
+    StateDelivered {
         /// The gateway.
         gateway: GatewayIndex,
         /// The backend.
         backend: BackendIndex,
         /// Its state.
-        state: ToldState,
+        state: BackendState,
     },
     /// Discovery has learnt of a state, and can tell all gateways that reach it.
-    Published {
+    StatePublished {
         /// The backend.
         backend: BackendIndex,
         /// Its state.
-        state: ToldState,
+        state: BackendState,
     },
     /// A gateway's discovery can be reached and answers, or not.
-    DiscoveryWell {
+    DiscoveryAvailability {
         /// The gateway.
         gateway: GatewayIndex,
         /// Whether it answers.
-        well: bool,
+        available: bool,
     },
     /// An operator's call to take a backend out, or back in, was answered with yes.
-    Banned {
+    BackendDisabled {
         /// The gateway.
         gateway: GatewayIndex,
         /// The backend.
         backend: BackendIndex,
         /// Out or back in.
-        out: bool,
+        disabled: bool,
     },
     /// A backend's process has started, cold.
     BackendStarted {
@@ -179,44 +179,44 @@
         backend: BackendIndex,
     },
     /// A gateway's process was started.
-    Started {
+    ProcessStarted {
         /// The gateway.
         gateway: GatewayIndex,
     },
     /// It said that it is ready, or had not when it was asked last.
-    Ready {
+    ProcessReady {
         /// Its process.
         pid: u32,
         /// How long that took; `None`: it was not ready in time.
         after: Option<Duration>,
     },
     /// A process was killed; planned where it had been told to end before.
-    Killed {
+    ProcessKilled {
         /// The gateway.
         gateway: GatewayIndex,
         /// It had been told to end.
         planned: bool,
     },
     /// A process was stopped for a moment.
-    Paused {
+    ProcessPaused {
         /// The gateway.
         gateway: GatewayIndex,
         /// For how long.
-        lasted: Duration,
+        duration: Duration,
     },
     /// A process ended.
-    Exited {
+    ProcessExited {
         /// The gateway.
         gateway: GatewayIndex,
         /// Its process.
         pid: u32,
         /// How, in words.
-        how: String,
+        exit_status: String,
         /// It had been told to end or was killed.
         expected: bool,
     },
     /// What a process said of itself at the end.
-    Figures {
+    FinalMetrics {
         /// The gateway.
         gateway: GatewayIndex,
         /// Violations that its own guards have counted.
@@ -224,7 +224,7 @@
         /// Descriptors that it holds.
         descriptors: usize,
         /// Descriptors that it held once it was ready.
-        descriptors_ready: usize,
+        descriptors_when_ready: usize,
         /// Memory that it holds, and held once it was ready, in kB.
         memory_kb: (u64, u64),
         /// Tasks alive, where it tells.
@@ -233,7 +233,7 @@
         healthy: bool,
     },
     /// A process does not answer its operators at the end.
-    FiguresMissing {
+    FinalMetricsMissing {
         /// The gateway.
         gateway: GatewayIndex,
     },
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,11 +1,13 @@
 //! The oracle on records that are written by hand: a sound one holds, and each broken promise is found.
 
-use gateway_soak::oracle::{judge, Invariant};
+use gateway_soak::oracle::{find_breaks, Invariant};
 use gateway_soak::scenario::{Choice, Scenario, GREEDY_CUSTOMER};
-use gateway_soak::trace::{AttemptEnd, ClientEnd, Effect, Entry, Event, Moment, SentRequest, ToldState};
+use gateway_soak::trace::{
+    AttemptOutcome, BackendState, ClientOutcome, Effect, Entry, Event, Moment, SentRequest,
+};
 use std::time::Duration;
 
-const SERVED: ClientEnd = ClientEnd::Answered { status: 200, body_fits: true };
+const SERVED: ClientOutcome = ClientOutcome::Answered { status: 200, body_fits: true };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -29,18 +31,26 @@
 fn sent(id: u64, effect: Effect) -> Event {
     let (wait, customer) = (ms(1_000), 100);
     let (long_answer, usual) = (false, true);
-    Event::Sent(SentRequest { id, gateway: 0, effect, customer, wait, long_answer, usual })
+    Event::RequestSent(SentRequest {
+        id,
+        gateway: 0,
+        effect,
+        customer,
+        timeout: wait,
+        long_answer,
+        counts_for_recovery: usual,
+    })
 }
 
-fn ended(id: u64, end: ClientEnd) -> Event {
-    Event::Ended { id, end }
+fn ended(id: u64, end: ClientOutcome) -> Event {
+    Event::RequestEnded { id, end }
 }
 
 fn began(id: u64, attempt: u64, backend: usize, first_byte: Moment, told: Duration) -> Event {
-    Event::AttemptBegan { id, backend, gateway: 0, first_byte, told: Some(told), attempt }
+    Event::AttemptBegan { id, backend, gateway: 0, first_byte, stated_time_left: Some(told), attempt }
 }
 
-fn attempt(id: u64, number: u64, backend: usize, from: u64, to: u64, end: AttemptEnd) -> [Entry; 2] {
+fn attempt(id: u64, number: u64, backend: usize, from: u64, to: u64, end: AttemptOutcome) -> [Entry; 2] {
     let told = ms(1_000_u64.saturating_sub(from));
     [
         at(from, began(id, number, backend, ms(from), told)),
@@ -49,7 +59,7 @@
 }
 
 /// A request that is sent at 0 ms, with what is seen of it.
-fn request(effect: Effect, attempts: &[[Entry; 2]], answered: u64, end: ClientEnd) -> Vec<Entry> {
+fn request(effect: Effect, attempts: &[[Entry; 2]], answered: u64, end: ClientOutcome) -> Vec<Entry> {
     let mut entries = vec![at(0, sent(1, effect)), at(answered, ended(1, end))];
     entries.extend(attempts.iter().flatten().cloned());
     entries
@@ -57,82 +67,88 @@
 
 fn broken(mut entries: Vec<Entry>) -> Vec<Invariant> {
     entries.sort_by_key(|entry| entry.at);
-    judge(&entries, &scenario()).into_iter().map(|b| b.invariant).collect()
+    find_breaks(&entries, &scenario()).into_iter().map(|b| b.invariant).collect()
 }
 
 #[test]
 fn a_sound_record_holds() {
-    let served = attempt(1, 1, 0, 5, 50, AttemptEnd::Served);
+    let served = attempt(1, 1, 0, 5, 50, AttemptOutcome::Served);
     assert_eq!(broken(request(Effect::Unsafe, &[served], 55, SERVED)), []);
-    let turned_away = attempt(1, 1, 0, 5, 8, AttemptEnd::TurnedAway);
-    let again = attempt(1, 2, 1, 12, 50, AttemptEnd::Served);
+    let turned_away = attempt(1, 1, 0, 5, 8, AttemptOutcome::Rejected);
+    let again = attempt(1, 2, 1, 12, 50, AttemptOutcome::Served);
     assert_eq!(broken(request(Effect::Unsafe, &[turned_away, again], 55, SERVED)), []);
-    let refused = ClientEnd::Answered { status: 429, body_fits: true };
+    let refused = ClientOutcome::Answered { status: 429, body_fits: true };
     assert_eq!(broken(request(Effect::Unsafe, &[], 1_400, refused)), []);
-    assert_eq!(broken(request(Effect::Pure, &[], 10, ClientEnd::Unread)), []);
+    assert_eq!(broken(request(Effect::Pure, &[], 10, ClientOutcome::Unread)), []);
 }
 
 #[test]
 fn a_request_without_its_final_answer_is_found() {
-    let attempts = [attempt(1, 1, 0, 5, 50, AttemptEnd::Served)];
-    for end in [ClientEnd::Closed, ClientEnd::Silent, ClientEnd::Unread] {
+    let attempts = [attempt(1, 1, 0, 5, 50, AttemptOutcome::Served)];
+    for end in [ClientOutcome::Closed, ClientOutcome::NoAnswer, ClientOutcome::Unread] {
         let found = broken(request(Effect::Pure, &attempts, 100, end.clone()));
         assert_eq!(found, [Invariant::FinalAnswer], "{end:?}");
     }
     assert_eq!(broken(request(Effect::Pure, &attempts, 1_700, SERVED)), [Invariant::FinalAnswer]);
     // The process was killed: what it held is lost.
-    let mut killed = request(Effect::Pure, &attempts, 100, ClientEnd::Closed);
-    killed.push(at(60, Event::Killed { gateway: 0, planned: false }));
+    let mut killed = request(Effect::Pure, &attempts, 100, ClientOutcome::Closed);
+    killed.push(at(60, Event::ProcessKilled { gateway: 0, planned: false }));
     assert_eq!(broken(killed), []);
 }
 
 #[test]
 fn an_answer_that_is_not_its_own_or_cut_off_is_found() {
-    let attempts = [attempt(1, 1, 0, 5, 50, AttemptEnd::Served)];
-    let foreign = ClientEnd::Answered { status: 200, body_fits: false };
+    let attempts = [attempt(1, 1, 0, 5, 50, AttemptOutcome::Served)];
+    let foreign = ClientOutcome::Answered { status: 200, body_fits: false };
     assert_eq!(broken(request(Effect::Pure, &attempts, 60, foreign)), [Invariant::TrueAnswer]);
-    assert_eq!(broken(request(Effect::Pure, &attempts, 60, ClientEnd::Cut)), [Invariant::TrueAnswer]);
+    assert_eq!(
+        broken(request(Effect::Pure, &attempts, 60, ClientOutcome::Truncated)),
+        [Invariant::TrueAnswer]
+    );
 }
 
 #[test]
 fn repeats_beyond_class_window_and_number_are_found() {
-    let broke = attempt(1, 1, 0, 5, 50, AttemptEnd::Broken);
-    let soon = attempt(1, 2, 1, 60, 90, AttemptEnd::Served);
-    let late = attempt(1, 2, 1, 500, 540, AttemptEnd::Served);
+    let broke = attempt(1, 1, 0, 5, 50, AttemptOutcome::Aborted);
+    let soon = attempt(1, 2, 1, 60, 90, AttemptOutcome::Served);
+    let late = attempt(1, 2, 1, 500, 540, AttemptOutcome::Served);
     let both = |second: &[Entry; 2]| [broke.clone(), second.clone()];
     assert_eq!(broken(request(Effect::Unsafe, &both(&soon), 95, SERVED)), [Invariant::NoRepeat]);
     assert_eq!(broken(request(Effect::Keyed, &both(&soon), 95, SERVED)), []);
     assert_eq!(broken(request(Effect::Keyed, &both(&late), 545, SERVED)), [Invariant::NoRepeat]);
     assert_eq!(broken(request(Effect::Pure, &both(&late), 545, SERVED)), []);
-    let out = attempt(1, 1, 0, 5, 300, AttemptEnd::GivenUp);
+    let out = attempt(1, 1, 0, 5, 300, AttemptOutcome::Cancelled);
     assert_eq!(broken(request(Effect::Pure, &[out, soon.clone()], 95, SERVED)), [Invariant::AttemptLimit]);
     let many: Vec<_> =
-        (0..4).map(|n| attempt(1, n, 0, 10 + 20 * n, 15 + 20 * n, AttemptEnd::Broken)).collect();
+        (0..4).map(|n| attempt(1, n, 0, 10 + 20 * n, 15 + 20 * n, AttemptOutcome::Aborted)).collect();
     assert_eq!(broken(request(Effect::Pure, &many, 200, SERVED)), [Invariant::AttemptLimit]);
 }
 
 #[test]
 fn attempts_for_clients_that_left_or_with_too_much_time_are_found() {
-    let late = attempt(1, 1, 0, 400, 450, AttemptEnd::GivenUp);
-    let mut left = request(Effect::Pure, &[late], 100, ClientEnd::Left);
+    let late = attempt(1, 1, 0, 400, 450, AttemptOutcome::Cancelled);
+    let mut left = request(Effect::Pure, &[late], 100, ClientOutcome::Left);
     left.push(at(100, Event::ClientLeft { id: 1 }));
     assert_eq!(broken(left), [Invariant::ClientLeft]);
     let told = [
         at(400, began(1, 1, 0, ms(400), ms(900))),
-        at(450, Event::AttemptEnded { attempt: 1, end: AttemptEnd::Served }),
+        at(450, Event::AttemptEnded { attempt: 1, end: AttemptOutcome::Served }),
     ];
     assert_eq!(broken(request(Effect::Pure, &[told], 455, SERVED)), [Invariant::DeadlineTold]);
 }
 
 #[test]
 fn sends_to_backends_that_drain_or_are_out_by_hand_are_found() {
-    let state = ToldState::Draining;
-    let drains = [Event::Published { backend: 0, state }, Event::Told { gateway: 0, backend: 0, state }];
-    let ban = [Event::Banned { gateway: 0, backend: 0, out: true }];
+    let state = BackendState::Draining;
+    let drains = [
+        Event::StatePublished { backend: 0, state },
+        Event::StateDelivered { gateway: 0, backend: 0, state },
+    ];
+    let ban = [Event::BackendDisabled { gateway: 0, backend: 0, disabled: true }];
     let cases: [(&[Event], Invariant); 2] = [(&drains, Invariant::Drain), (&ban, Invariant::Ban)];
     for (events, invariant) in cases {
         for (first_byte, expected) in [(400, vec![]), (800, vec![invariant])] {
-            let attempts = [attempt(1, 1, 0, first_byte, first_byte + 20, AttemptEnd::Served)];
+            let attempts = [attempt(1, 1, 0, first_byte, first_byte + 20, AttemptOutcome::Served)];
             let mut entries = request(Effect::Pure, &attempts, first_byte + 25, SERVED);
             entries.extend(events.iter().map(|event| at(1, event.clone())));
             assert_eq!(broken(entries), expected, "{events:?} at {first_byte}");
@@ -145,12 +161,12 @@
     let scenario = scenario();
     let mut cold = vec![
         at(0, Event::BackendStarted { backend: 0 }),
-        at(0, Event::Told { gateway: 0, backend: 0, state: ToldState::Serving }),
+        at(0, Event::StateDelivered { gateway: 0, backend: 0, state: BackendState::Serving }),
     ];
     let capacity = scenario.slots as f64 * 1e3 / scenario.work_ms;
     let allowed = scenario.settings.fall_multiple * scenario.settings.cold_from * capacity * 2.0;
     let many = (allowed + 3.0 * allowed.sqrt() + 12.0) as u64;
-    cold.extend((0..many).flat_map(|n| attempt(n, n, 0, 1 + n, 2 + n, AttemptEnd::Served)));
+    cold.extend((0..many).flat_map(|n| attempt(n, n, 0, 1 + n, 2 + n, AttemptOutcome::Served)));
     assert_eq!(broken(cold), [Invariant::SlowStart]);
     let mut greedy = vec![at(0, Event::MeasureBegan), at(4_000, Event::MeasureEnded)];
     for n in 0..120 {
@@ -160,13 +176,13 @@
             gateway: 0,
             effect: Effect::Pure,
             customer: GREEDY_CUSTOMER,
-            wait: ms(1_000),
+            timeout: ms(1_000),
             long_answer: false,
-            usual: false,
+            counts_for_recovery: false,
         };
-        greedy.push(at(from, Event::Sent(request)));
+        greedy.push(at(from, Event::RequestSent(request)));
         greedy.push(at(from + 1, began(n, n, 0, ms(from), ms(900))));
-        greedy.push(at(from + 9, Event::AttemptEnded { attempt: n, end: AttemptEnd::Served }));
+        greedy.push(at(from + 9, Event::AttemptEnded { attempt: n, end: AttemptOutcome::Served }));
         greedy.push(at(from + 10, ended(n, SERVED)));
     }
     assert_eq!(broken(greedy), [Invariant::Quota]);
@@ -174,18 +190,18 @@
 
 #[test]
 fn processes_that_end_hang_or_grow_are_found() {
-    let sound = || Event::Figures {
+    let sound = || Event::FinalMetrics {
         gateway: 0,
         violations: 0,
         descriptors: 20,
-        descriptors_ready: 14,
+        descriptors_when_ready: 14,
         memory_kb: (6_000, 5_000),
         tasks: Some(12),
         healthy: true,
     };
     let changed = |change: fn(&mut u64, &mut usize, &mut (u64, u64), &mut bool)| {
         let mut event = sound();
-        if let Event::Figures { violations, descriptors, memory_kb, healthy, .. } = &mut event {
+        if let Event::FinalMetrics { violations, descriptors, memory_kb, healthy, .. } = &mut event {
             change(violations, descriptors, memory_kb, healthy);
         }
         event
@@ -196,12 +212,17 @@
         (changed(|_, _, memory, _| memory.0 = 90_000), vec![Invariant::Growth]),
         (changed(|violations, _, _, _| *violations = 1), vec![Invariant::Guard]),
         (changed(|_, _, _, healthy| *healthy = false), vec![Invariant::Serves]),
-        (Event::FiguresMissing { gateway: 0 }, vec![Invariant::Serves]),
+        (Event::FinalMetricsMissing { gateway: 0 }, vec![Invariant::Serves]),
         (Event::LogAlarm { line: "guard: second_copy".to_owned() }, vec![Invariant::Guard]),
-        (Event::Ready { pid: 1, after: None }, vec![Invariant::Process]),
-        (Event::Ready { pid: 1, after: Some(ms(300)) }, vec![]),
+        (Event::ProcessReady { pid: 1, after: None }, vec![Invariant::Process]),
+        (Event::ProcessReady { pid: 1, after: Some(ms(300)) }, vec![]),
         (
-            Event::Exited { gateway: 0, pid: 1, how: "exit status: 101".to_owned(), expected: false },
+            Event::ProcessExited {
+                gateway: 0,
+                pid: 1,
+                exit_status: "exit status: 101".to_owned(),
+                expected: false,
+            },
             vec![Invariant::Process],
         ),
         (Event::BadPeer { gateway: 0, ended_after: None }, vec![Invariant::BadPeer]),
@@ -218,7 +239,7 @@
     for id in 0..20 {
         entries.push(at(100 + id, sent(id, Effect::Pure)));
         let status = if id < 9 { 200 } else { 429 };
-        entries.push(at(200 + id, ended(id, ClientEnd::Answered { status, body_fits: true })));
+        entries.push(at(200 + id, ended(id, ClientOutcome::Answered { status, body_fits: true })));
     }
     assert_eq!(broken(entries), [Invariant::Serves, Invariant::Recovery]);
 }
