--- a/soak/src/director.rs
+++ b/soak/src/director.rs
@@ -127,12 +127,12 @@
             TroubleKind::DiscoveryDown => self.discovery_down().await,
             TroubleKind::CounterAway => self.counter_away().await,
             TroubleKind::CounterSlow => {
-                let by = Duration::from_millis(self.world.scenario.settings.counter_limit_ms) / 2;
+                let by = Duration::from_millis(self.world.scenario.settings.counter_timeout_ms) / 2;
                 self.counter(CounterMode::Slow(by)).await;
             }
             TroubleKind::CounterLate => {
-                let by =
-                    Duration::from_millis(self.world.scenario.settings.counter_limit_ms) + self.some_ms(200);
+                let by = Duration::from_millis(self.world.scenario.settings.counter_timeout_ms)
+                    + self.some_ms(200);
                 self.counter(CounterMode::Slow(by)).await;
             }
             TroubleKind::CounterSilent => self.counter(CounterMode::Silent).await,
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -44,7 +44,7 @@
 }
 
 /// A value in the query of a target.
-pub fn query<'a>(target: &'a str, name: &str) -> Option<&'a str> {
+pub fn query_value<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
     query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
 }
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -96,7 +96,7 @@
     }
 
     /// Waits until the other side has ended the connection.
-    pub async fn closed(&mut self) {
+    pub async fn wait_closed(&mut self) {
         while self.fill().await.is_ok_and(|n| n > 0) {}
     }
 }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -8,7 +8,7 @@
 use gateway_soak::batch::play_all;
 use gateway_soak::coverage::Coverage;
 use gateway_soak::run::Kept;
-use gateway_soak::scenario::{Choice, Scenario};
+use gateway_soak::scenario::{DrawOptions, Scenario};
 use gateway_soak::shrink::shrink;
 use gateway_soak::trouble::TroubleKind;
 use gateway_soak::world::MAX_SLOTS;
@@ -100,12 +100,12 @@
 }
 
 impl DrawArgs {
-    fn choice(&self) -> anyhow::Result<Choice> {
+    fn choice(&self) -> anyhow::Result<DrawOptions> {
         let kinds = self.kinds.iter().map(|name| {
             TroubleKind::named(name).with_context(|| format!("no trouble is named {name:?}; see `troubles`"))
         });
         let kinds = kinds.collect::<Result<_, _>>()?;
-        Ok(Choice { filed: self.filed, kinds, max_gateways: self.max_gateways })
+        Ok(DrawOptions { filed: self.filed, kinds, max_gateways: self.max_gateways })
     }
 
     fn kept(&self) -> anyhow::Result<Kept> {
--- a/soak/src/oracle/limits.rs
+++ b/soak/src/oracle/limits.rs
@@ -33,7 +33,7 @@
 
 fn check_slow_start(view: &View<'_>, backend: BackendIndex, start: Moment, found: &mut Vec<Found>) {
     let settings = &view.scenario.settings;
-    let span = Duration::from_millis(settings.fall_after_ms);
+    let span = Duration::from_millis(settings.collapse_after_ms);
     let warm_up = Duration::from_millis(settings.warm_up_ms);
     let capacity = view.scenario.slots as f64 * 1e3 / view.scenario.work_ms;
     let next = view.entries.iter().filter(|e| e.at > start);
@@ -46,9 +46,9 @@
         .map(|a| (a.began, told_of_start(view, a.gateway, backend, start, a.first_byte)))
         .collect();
     for (last, (at, _)) in sends.iter().enumerate() {
-        let warmth = settings.cold_from
-            + (1.0 - settings.cold_from) * (*at - start).as_secs_f64() / warm_up.as_secs_f64();
-        let bound = fall_bound(settings.fall_multiple * warmth.min(1.0) * capacity * span.as_secs_f64());
+        let warmth = settings.cold_capacity
+            + (1.0 - settings.cold_capacity) * (*at - start).as_secs_f64() / warm_up.as_secs_f64();
+        let bound = fall_bound(settings.collapse_multiple * warmth.min(1.0) * capacity * span.as_secs_f64());
         let within = sends[..=last].iter().filter(|(t, _)| *t + span > *at);
         let (all, told) = within.fold((0, 0), |(all, told), (_, knew)| (all + 1, told + usize::from(*knew)));
         if all as f64 > bound && told as f64 > all as f64 * TOLD_PART {
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -153,7 +153,7 @@
         found.push(Found::of_request(Invariant::NoRepeat, later.began, later.id, what));
     }
     let still_out = earlier.end.is_none_or(|(at, _)| at > later.began + GIVING_UP);
-    if still_out && !view.scenario.settings.second_copies && !view.has_link_trouble() {
+    if still_out && !view.scenario.settings.hedging && !view.has_link_trouble() {
         let what = format!("two attempts at once, at backends {} and {}", earlier.backend, later.backend);
         found.push(Found::of_request(Invariant::AttemptLimit, later.began, later.id, what));
     }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -25,7 +25,8 @@
     /// Lists are pushed; else they have to be asked for.
     pub pushed: bool,
     /// Second copies are allowed.
-    pub second_copies: bool,
+    #[serde(rename = "second_copies")]
+    pub hedging: bool,
     /// Probes are allowed.
     pub probes: bool,
     /// Attempts that a request may have.
@@ -41,15 +42,19 @@
     /// Backends close connections that have been idle for so long.
     pub idle_close_ms: u64,
     /// Part of its capacity that a backend starts with.
-    pub cold_from: f64,
+    #[serde(rename = "cold_from")]
+    pub cold_capacity: f64,
     /// How long a backend takes to be warm.
     pub warm_up_ms: u64,
     /// Multiple of its present capacity at which a cold backend falls.
-    pub fall_multiple: f64,
+    #[serde(rename = "fall_multiple")]
+    pub collapse_multiple: f64,
     /// For so long it must have been sent that much.
-    pub fall_after_ms: u64,
+    #[serde(rename = "fall_after_ms")]
+    pub collapse_after_ms: u64,
     /// A call to the counter is given up after so long.
-    pub counter_limit_ms: u64,
+    #[serde(rename = "counter_limit_ms")]
+    pub counter_timeout_ms: u64,
     /// Limits of a gateway.
     pub memory_mb: u64,
     /// Its descriptors.
@@ -107,7 +112,7 @@
     fn draw(random: &mut Rng) -> Self {
         Settings {
             pushed: random.f64() < 0.7,
-            second_copies: random.bool(),
+            hedging: random.bool(),
             probes: random.f64() < 0.8,
             max_attempts: random.u32(2..=5),
             connect_timeout_ms: pick(random, &[250, 400, 1_300]),
@@ -119,11 +124,11 @@
                 pick(random, &[1_200, 2_000]),
             ],
             idle_close_ms: pick(random, &[2_000, 4_000]),
-            cold_from: pick(random, &[0.1, 0.19]),
+            cold_capacity: pick(random, &[0.1, 0.19]),
             warm_up_ms: pick(random, &[8_000, 17_000]),
-            fall_multiple: pick(random, &[1.5, 2.0]),
-            fall_after_ms: 2_000,
-            counter_limit_ms: pick(random, &[50, 80]),
+            collapse_multiple: pick(random, &[1.5, 2.0]),
+            collapse_after_ms: 2_000,
+            counter_timeout_ms: pick(random, &[50, 80]),
             memory_mb: pick(random, &[64, 192]),
             sockets: pick(random, &[256, 512]),
         }
@@ -147,22 +152,22 @@
                 class("book", self.deadlines_ms[2], "side_effect", 3.0, 0),
             ],
             "tariffs": [plan(USUAL_PLAN), plan(GREEDY_PLAN)],
-            "extra": {"shared_counter": true, "call_price": 0.01, "count_limit_us": us(self.counter_limit_ms),
+            "extra": {"shared_counter": true, "call_price": 0.01, "count_limit_us": us(self.counter_timeout_ms),
                       "units_top": 4},
-            "policy_limits": {"cancel": true, "probes": self.probes, "second_copies": self.second_copies,
+            "policy_limits": {"cancel": true, "probes": self.probes, "second_copies": self.hedging,
                 "retry_after": true, "max_retry_after_us": 2_000_000, "max_attempts": self.max_attempts,
                 "connect_timeout_us": us(self.connect_timeout_ms), "idle_close_us": us(self.idle_close_ms)},
             "invariants": {"answer_slack_us": 8000, "ask_every_us": if self.pushed { 0 } else { 1_000_000 },
-                "drain_grace_us": us(self.drain_grace_ms), "cold_from": self.cold_from,
-                "warm_up_us": us(self.warm_up_ms), "fall_multiple": self.fall_multiple,
-                "tip_after_us": us(self.fall_after_ms)},
+                "drain_grace_us": us(self.drain_grace_ms), "cold_from": self.cold_capacity,
+                "warm_up_us": us(self.warm_up_ms), "fall_multiple": self.collapse_multiple,
+                "tip_after_us": us(self.collapse_after_ms)},
         })
     }
 }
 
 /// What may be drawn.
 #[derive(Clone, Debug, Default)]
-pub struct Choice {
+pub struct DrawOptions {
     /// Also troubles whose faults are filed.
     pub filed: bool,
     /// These kinds alone, where any are named.
@@ -171,7 +176,7 @@
     pub max_gateways: usize,
 }
 
-impl Choice {
+impl DrawOptions {
     fn kinds(&self) -> Vec<TroubleKind> {
         if !self.kinds.is_empty() {
             return self.kinds.clone();
@@ -182,7 +187,7 @@
 
 impl Scenario {
     /// Draws a run. The same seed and choice give the same run.
-    pub fn draw(seed: u64, choice: &Choice) -> Self {
+    pub fn draw(seed: u64, choice: &DrawOptions) -> Self {
         let mut random = Rng::with_seed(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ 0x51ED);
         let drawn = if random.f64() < 0.8 { random.usize(10..=14) } else { random.usize(15..=40) };
         let gateways = if choice.max_gateways > 0 { drawn.min(choice.max_gateways) } else { drawn };
--- a/soak/src/stand_in/backend.rs
+++ b/soak/src/stand_in/backend.rs
@@ -1,6 +1,6 @@
 //! Backends: a few slots of work, cold after a start, and all that can be wrong with one.
 
-use crate::http::{query, read_body, read_head, Buffered, Head};
+use crate::http::{query_value, read_body, read_head, Buffered, Head};
 use crate::link::{Link, LinkStream};
 use crate::scenario::Scenario;
 use crate::trace::{AttemptEnd, Event, Trace};
@@ -83,7 +83,7 @@
             slots: Semaphore::new(scenario.slots),
             waiting: AtomicU64::new(0),
             work: Duration::from_secs_f64(scenario.work_ms / 1e3),
-            cold_from: settings.cold_from,
+            cold_from: settings.cold_capacity,
             warm_up: Duration::from_millis(settings.warm_up_ms),
             started: Mutex::new(None),
             mode: watch::channel(BackendMode::Well).0,
@@ -204,7 +204,7 @@
             let path = head.target().split('?').next().unwrap_or_default();
             if matches!(path, "/load" | "/healthz") {
                 if *self.mode.borrow() == BackendMode::Hangs {
-                    return stream.closed().await;
+                    return stream.wait_closed().await;
                 }
                 if stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.is_err() {
                     return;
@@ -247,13 +247,13 @@
             BackendMode::Hangs => {
                 let mut mode = self.mode.subscribe();
                 return tokio::select! {
-                    () = stream.closed() => (AttemptEnd::GivenUp, Next::Close),
+                    () = stream.wait_closed() => (AttemptEnd::GivenUp, Next::Close),
                     _ = mode.wait_for(|mode| *mode != BackendMode::Hangs) => (AttemptEnd::Broken, Next::Reset),
                 };
             }
             BackendMode::Resets if lot < 0.5 => {
                 return tokio::select! {
-                    () = stream.closed() => (AttemptEnd::GivenUp, Next::Close),
+                    () = stream.wait_closed() => (AttemptEnd::GivenUp, Next::Close),
                     () = sleep(self.work.mul_f64(2.0 * lot)) => (AttemptEnd::Broken, Next::Reset),
                 };
             }
@@ -276,7 +276,7 @@
             drop(slot);
         };
         tokio::select! {
-            () = stream.closed() => return (AttemptEnd::GivenUp, Next::Close),
+            () = stream.wait_closed() => return (AttemptEnd::GivenUp, Next::Close),
             () = worked => {}
         }
         self.serve(id, stream, head, lot).await
@@ -302,8 +302,9 @@
 
     /// Answers with the request's own id and as many bytes as it asks for, in one of three framings.
     async fn serve(&self, id: u64, stream: &mut LinkStream, head: &Head, lot: f64) -> (AttemptEnd, Next) {
-        let size = query(head.target(), "size").and_then(|v| v.parse::<usize>().ok()).unwrap_or(16);
-        let pause = query(head.target(), "pause_ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
+        let size = query_value(head.target(), "size").and_then(|v| v.parse::<usize>().ok()).unwrap_or(16);
+        let pause =
+            query_value(head.target(), "pause_ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
         let mut body = format!("{id:016x}").into_bytes();
         body.resize(size.max(16), b'x');
         let framing = match lot {
--- a/soak/src/stand_in/counter.rs
+++ b/soak/src/stand_in/counter.rs
@@ -1,7 +1,7 @@
 //! The counter: numbers under names, which callers add to.
 
 use super::door::Door;
-use crate::http::{query, read_body, read_head};
+use crate::http::{query_value, read_body, read_head};
 use crate::link::LinkStream;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -94,8 +94,8 @@
         }
         let target = head.target().to_owned();
         let name = target.split('?').next().and_then(|path| path.strip_prefix("/v2/numbers/"));
-        let delta = query(&target, "delta").and_then(|v| v.parse::<f64>().ok());
-        let life = query(&target, "life_ms").and_then(|v| v.parse::<u64>().ok());
+        let delta = query_value(&target, "delta").and_then(|v| v.parse::<f64>().ok());
+        let life = query_value(&target, "life_ms").and_then(|v| v.parse::<u64>().ok());
         let (Some(name), Some(delta), Some(life)) = (name, delta, life) else {
             let _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n").await;
             continue;
--- a/soak/src/stand_in/discovery.rs
+++ b/soak/src/stand_in/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: one registry, and an agent of it for each gateway.
 
 use super::door::Door;
-use crate::http::{query, read_body, read_head};
+use crate::http::{query_value, read_body, read_head};
 use crate::link::LinkStream;
 use crate::trace::{Event, ToldState, Trace};
 use serde_json::{json, Value};
@@ -178,8 +178,8 @@
         if read_body(&mut stream, &head, false).await.is_err() {
             return;
         }
-        let held = query(head.target(), "index").and_then(|v| v.parse::<u64>().ok());
-        let wait = query(head.target(), "wait").and_then(|v| v.parse::<u64>().ok());
+        let held = query_value(head.target(), "index").and_then(|v| v.parse::<u64>().ok());
+        let wait = query_value(head.target(), "wait").and_then(|v| v.parse::<u64>().ok());
         if let (Some(held), Some(wait)) = (held, wait) {
             let mut latest = registry.latest.subscribe();
             let news = async { drop(latest.wait_for(|index| *index > held).await) };
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,7 +1,7 @@
 //! The oracle on records that are written by hand: a sound one holds, and each broken promise is found.
 
 use gateway_soak::oracle::{judge, Invariant};
-use gateway_soak::scenario::{Choice, Scenario, GREEDY_CUSTOMER};
+use gateway_soak::scenario::{DrawOptions, Scenario, GREEDY_CUSTOMER};
 use gateway_soak::trace::{AttemptEnd, ClientEnd, Effect, Entry, Event, Moment, SentRequest, ToldState};
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 
 /// A run without troubles, with settings that the records below are written for.
 fn scenario() -> Scenario {
-    let mut scenario = Scenario::draw(1, &Choice::default()).with_troubles(&[]);
-    scenario.settings.second_copies = false;
+    let mut scenario = Scenario::draw(1, &DrawOptions::default()).with_troubles(&[]);
+    scenario.settings.hedging = false;
     scenario.settings.max_attempts = 3;
     scenario.settings.key_window_ms = 400;
     scenario.settings.drain_grace_ms = 500;
@@ -148,7 +148,7 @@
         at(0, Event::Told { gateway: 0, backend: 0, state: ToldState::Serving }),
     ];
     let capacity = scenario.slots as f64 * 1e3 / scenario.work_ms;
-    let allowed = scenario.settings.fall_multiple * scenario.settings.cold_from * capacity * 2.0;
+    let allowed = scenario.settings.collapse_multiple * scenario.settings.cold_capacity * capacity * 2.0;
     let many = (allowed + 3.0 * allowed.sqrt() + 12.0) as u64;
     cold.extend((0..many).flat_map(|n| attempt(n, n, 0, 1 + n, 2 + n, AttemptEnd::Served)));
     assert_eq!(broken(cold), [Invariant::SlowStart]);
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_seed_is_the_whole_draw() {
-    let text = |seed| serde_json::to_string(&Scenario::draw(seed, &Choice::default())).expect("text");
+    let text = |seed| serde_json::to_string(&Scenario::draw(seed, &DrawOptions::default())).expect("text");
     assert_eq!(text(7), text(7));
     assert_ne!(text(7), text(8));
 }
