--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -57,8 +57,10 @@
         Ok(reply.into_frame())
     }
 
-    /// Reads frames and writes the reply to each until the input ends between two frames. Fails if the input
-    /// ends inside a frame, if a batch is malformed, and on I/O errors.
+    /// Reads frames and writes the reply to each until the input ends between two frames. The header of a
+    /// frame has the time (`u64`, microseconds), the number of bytes after this length field (`u32`) and the
+    /// number of records (`u32`). Fails if the input ends inside a frame, if a batch is malformed, and on I/O
+    /// errors.
     pub fn serve(&mut self, mut input: impl Read, output: impl Write) -> Result<(), String> {
         let mut output = BufWriter::new(output);
         let mut header = [0u8; 16];
--- a/benchlink/src/wire.rs
+++ b/benchlink/src/wire.rs
@@ -124,6 +124,7 @@
             outcome: decode_outcome(fields.u16(17))?,
             elapsed: u64::from(fields.u32(19)),
             request_done: fields.u8(23) != 0,
+            // 0 for no report, else the use in percent plus 1.
             quota_use: fields.u16(24).checked_sub(1).map(|p| f64::from(p) / 100.0),
             billed_units: Some(fields.u16(26)).filter(|&b| b > 0).map(f64::from),
             load: fields.load(28),
--- a/src/api.rs
+++ b/src/api.rs
@@ -169,7 +169,7 @@
     Pushed,
     /// Lists arrive only after [`Action::Subscribe`] or [`Action::FetchList`].
     OnRequest {
-        /// A gateway that has not asked for this long is taken to know the present list.
+        /// A gateway that has not asked for the list for this long is judged as if it knew the present one.
         ask_interval: Micros,
     },
 }
@@ -277,7 +277,7 @@
     pub connect_timeout: Micros,
     /// How long after its deadline a client still takes a response.
     pub answer_slack: Micros,
-    /// How soon a backend that is listed as draining or gone must get no more attempts.
+    /// How long a backend may still get attempts after it has been listed as draining or gone.
     pub drain_grace: Micros,
     /// The smallest fraction of its capacity that a backend has when it starts, 0 to 1.
     pub cold_capacity: f64,
@@ -357,6 +357,7 @@
             return invalid("gateways".into(), "must be at least 1");
         }
         let is_valid = |value: f64| value.is_finite() && value >= 0.0;
+        // Each number with its name in the settings file.
         let numbers = [
             ("cold_from", self.cold_capacity),
             ("fall_multiple", self.collapse_multiple),
@@ -369,10 +370,16 @@
         }
         for class in &self.classes {
             if class.deadline == 0 || class.target_latency == 0 {
-                return invalid(format!("classes.{}", class.name), "aim and deadline must be above 0");
+                return invalid(
+                    format!("classes.{}", class.name),
+                    "target latency (aim_us) and deadline (deadline_us) must be above 0",
+                );
             }
             if ![class.worth, class.late_worth, class.target_stretch].into_iter().all(is_valid) {
-                return invalid(format!("classes.{}", class.name), "worth must be finite and not negative");
+                return invalid(
+                    format!("classes.{}", class.name),
+                    "worth, late_worth and aim_stretch must be finite and not negative",
+                );
             }
         }
         for plan in &self.plans {
@@ -383,7 +390,10 @@
                 return invalid(format!("plans.{}", plan.name), "numbers must be finite and not negative");
             }
             if plan.rate > 0.0 && plan.burst <= 0.0 {
-                return invalid(format!("plans.{}.burst", plan.name), "a rate needs a burst above 0");
+                return invalid(
+                    format!("plans.{}.burst", plan.name),
+                    "a rate (quota_rate) needs a burst (peak_units) above 0",
+                );
             }
         }
         Ok(())
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -9,7 +9,8 @@
 const SECOND: f64 = 1e6;
 /// The usual interval between two syncs of a customer with the counter, in microseconds.
 const SYNC_INTERVAL: f64 = 1e6;
-/// The smallest remaining fraction of a quota that the delay of a sync is computed with.
+/// The smallest remaining fraction of a quota that the delay of a sync is computed with. It bounds how soon a
+/// sync follows when the quota has nearly run out.
 const MIN_REMAINING_FRACTION: f64 = 0.05;
 /// The delay of a sync as a fraction of `SYNC_INTERVAL` for use above `LOW_USE_FRACTION`. It is multiplied by
 /// the square of the remaining fraction of the quota.
@@ -32,8 +33,8 @@
 const MIN_PACE: f64 = 0.1;
 /// The fraction of its time-out above which the duration of a call is taken as a sign of congestion.
 const LATE_FRACTION: f64 = 0.75;
-/// The number of consecutive time-out periods with failed calls and no answer after which the counter may be
-/// down.
+/// The number of consecutive time-out periods with failed calls and no answer after which the counter is
+/// taken to be down.
 const MAX_COUNTER_FAILURES: u32 = 3;
 /// The fraction of recent calls without an answer in time from which the counter is not relied on.
 const MAX_UNANSWERED_CALL_RATE: f64 = 0.3;
@@ -43,16 +44,16 @@
 const DECAY_TIME: f64 = 10e6;
 /// The initial probabilities of being over quota: of a new customer and of a returning one.
 const INITIAL_OVER_QUOTA_RATES: [f64; 2] = [0.3, 0.6];
-/// The least probability of being over quota of a returning customer where there is no counter and an uneven
-/// share of the quota holds less than two requests.
+/// The least probability of being over quota of a returning customer where there is no counter and
+/// `UNEVEN_FACTOR` times this gateway's share of the quota holds less than two requests.
 const UNCOUNTED_PROBABILITY: f64 = 0.7;
 /// The fraction of its quota from which a customer's next request may well be over the quota.
 const NEAR_QUOTA_USE: f64 = 0.5;
 /// The multiple of this gateway's share that may be admitted on the probability of being over quota alone, as
 /// traffic is spread unevenly over the gateways.
 const UNEVEN_FACTOR: f64 = 4.0;
-/// The fraction of the penalty for a probable excess of the quota that is waived at the full pace of calls,
-/// when all units are counted.
+/// The fraction by which full counts ease the refusal of customers that are probably over their quota when
+/// capacity is short. It applies at the full pace of calls, when all units are counted, and less below that.
 const EXACT_COUNT_DISCOUNT: f64 = 0.7;
 /// How long a customer without requests is remembered, in microseconds, if this is longer than four windows:
 /// many customers come only once. Also the time constant with which `warm_throughput` falls.
@@ -231,7 +232,7 @@
     // ---------------------------------------------------------------- quota
 
     /// Returns the length of a quota window in microseconds: burst / rate, the time in which the bucket
-    /// fills.
+    /// fills. It is at most a third of the longest lifetime of a key, as keys live for three windows.
     fn window_length(&self, plan: usize) -> f64 {
         let plan = &self.cfg.plans[plan];
         (plan.burst / plan.rate * SECOND).clamp(SECOND / 100.0, MAX_KEY_LIFETIME / 3.0)
@@ -251,8 +252,8 @@
 
     /// Returns the key on the counter of a customer's window.
     fn counter_key(&self, id: CustomerId, plan: usize, window: u64) -> CounterKey {
-        // The index among the plans with windows of the same length, as only these number their windows
-        // alike.
+        // The index among the plans with windows of the same length: only these number their windows alike,
+        // so that their keys have to be told apart.
         let index = (0..plan).filter(|p| self.window_length(*p) == self.window_length(plan)).count();
         CounterKey(hash(hash(id.for_plan(plan).for_plan(index).0).wrapping_add(window)))
     }
@@ -430,8 +431,8 @@
         }
         // The share is below one request. Refusing all such requests would leave a small quota unused, and
         // one request from each gateway would exceed it by far: the probability of being over quota decides.
-        // A returning customer asks for its second request at least. An uneven share that does not hold two
-        // is no sign of room for it.
+        // A returning customer asks for its second request at least. Where not even `UNEVEN_FACTOR` times the
+        // share holds two, there is no sign of room for it.
         let returning = (customer.current.request_seen || customer.previous.request_seen)
             && UNEVEN_FACTOR * share < 2.0 * units;
         let over_quota = self
@@ -488,7 +489,7 @@
         let due = self.sync_queue.iter().take_while(|s| s.0 <= self.now).take(MAX_SYNC_CANDIDATES);
         let worth = |id: &CustomerId| {
             let c = &self.customers[id];
-            (c.current.unsent + c.previous.unsent + c.held.len() as f64) * self.cfg.plans[c.plan].price
+            (c.current.unsent + c.previous.unsent + c.pending.len() as f64) * self.cfg.plans[c.plan].price
         };
         due.copied().max_by(|a, b| worth(&a.1).total_cmp(&worth(&b.1)))
     }
@@ -529,7 +530,8 @@
         // The other gateways may have used up the previous window while no request came here. So held
         // requests have both totals read, but where calls are limited, the previous one only if the current
         // one does not settle them.
-        let (has_held, has_uncovered) = (!customer.held.is_empty(), customer.held.iter().any(|h| !h.covered));
+        let (has_held, has_uncovered) =
+            (!customer.pending.is_empty(), customer.pending.iter().any(|h| !h.covered));
         let previous_unread =
             has_held && customer.previous.total_received_at.is_none() && (spare_calls || !has_uncovered);
         let reads = [
@@ -543,7 +545,7 @@
             (count.in_call, count.unsent, count.correction, count.call_in_flight) =
                 (count.unsent + count.correction, 0.0, 0.0, true);
             customer.previous_reads += u32::from(i == 0);
-            customer.held.iter_mut().for_each(|h| h.covered |= i == 1);
+            customer.pending.iter_mut().for_each(|h| h.covered |= i == 1);
             let (key, window) = keys[i];
             self.counter_keys.insert(key, (id, window));
             self.calls_in_flight += 1.0;
@@ -632,7 +634,7 @@
             self.settle_held_requests(id, answered);
         }
         let customer = &self.customers[&id];
-        if customer.held.iter().any(|h| !h.covered) && !customer.current.call_in_flight {
+        if customer.pending.iter().any(|h| !h.covered) && !customer.current.call_in_flight {
             self.schedule_sync(id, 0.0);
         } else if customer.current.unsent != 0.0 || customer.previous.unsent != 0.0 {
             self.schedule_sync(id, if answered && self.call_pace < 1.0 { 0.0 } else { SYNC_INTERVAL * 0.5 });
@@ -682,7 +684,7 @@
         let Some(customer) = self.customers.get(&id) else { return };
         if !customer.current.call_in_flight
             && !customer.previous.call_in_flight
-            && customer.held.iter().any(|h| h.covered)
+            && customer.pending.iter().any(|h| h.covered)
         {
             self.settle_held_requests(id, has_total);
         }
@@ -741,10 +743,10 @@
         let (limit, window) =
             (self.window_limit(self.customers[&id].plan), self.window_length(self.customers[&id].plan));
         let Some(customer) = self.customers.get_mut(&id) else { return };
-        let largest_units = customer.held.iter().map(|h| h.units).fold(0.0, f64::max);
+        let largest_units = customer.pending.iter().map(|h| h.units).fold(0.0, f64::max);
         let previous_unread = customer.previous.total_received_at.is_none() && customer.previous_reads == 0;
         let (covered, later): (Vec<_>, Vec<_>) =
-            customer.held.drain(..).partition(|h| h.covered || !has_total);
+            customer.pending.drain(..).partition(|h| h.covered || !has_total);
         let reserved: f64 = covered.iter().chain(&later).map(|h| h.counted).sum();
         // The total of the previous window, if it is full, may still rule the requests out. It is read only
         // where that decides.
@@ -755,11 +757,11 @@
             && current > limit * elapsed_fraction
             && current <= limit
         {
-            customer.held = covered.into_iter().chain(later).collect();
+            customer.pending = covered.into_iter().chain(later).collect();
             self.sync(id);
             return;
         }
-        customer.held = later;
+        customer.pending = later;
         let both_totals = customer.previous.total_received_at.is_some();
         let mut estimate = customer.estimate(elapsed_fraction) - reserved;
         for held in covered {
@@ -847,12 +849,19 @@
                 self.refuse_unsent(id, RefusalReason::NoBackend, self.expected_latency() as Micros)
             }
             QuotaDecision::Hold(counted) => {
-                // Units counted for many requests, of one that is then refused, would shut other requests
-                // out. They are counted only after the request has been sent.
+                // A sampled request carries the units of many. If they were counted now and the request then
+                // refused, they would shut other requests out. So they are counted once it has been sent.
                 let Some(customer) = self.customers.get_mut(&customer_id) else { return };
                 let (counted, deferred) = if counted < 2.0 * units { (counted, 0.0) } else { (0.0, counted) };
                 customer.current.unsent += counted;
-                customer.held.push(HeldRequest { id, units, counted, deferred, returning, covered: false });
+                customer.pending.push(HeldRequest {
+                    id,
+                    units,
+                    counted,
+                    deferred,
+                    returning,
+                    covered: false,
+                });
                 if !customer.current.call_in_flight {
                     self.schedule_sync(customer_id, 0.0);
                 }
@@ -996,8 +1005,8 @@
         // Customers that are probably within their quota are served first when capacity is short.
         let limit =
             limit * (1.0 - over_quota * (1.0 - EXACT_COUNT_DISCOUNT * self.call_pace * self.call_pace));
-        // A number of requests that is always allowed would jam the fleet if each gateway used it in full. It
-        // is two per backend over all gateways, which take turns.
+        // A few requests are always allowed. If each gateway had a number of its own, all of them together
+        // would overload the backends. So it is two per backend over all gateways, which take turns.
         let always_allowed =
             self.round_by_hash(2.0 * self.backends.len() as f64 / self.cfg.gateways as f64, SECOND, 0);
         // A class that is refused while others fill the queue would be served nowhere, and its latency never
@@ -1180,7 +1189,7 @@
             self.customers.retain(|id, c| {
                 let retention = RETENTION_TIME.max(4.0 * windows[c.plan]);
                 let idle = now.saturating_sub(c.last_seen_at) as f64 > retention
-                    && c.held.is_empty()
+                    && c.pending.is_empty()
                     && c.in_flight == 0;
                 let drop = idle && plans[c.plan].ceiling.is_none();
                 c.sync_at.filter(|_| drop).map(|t| queue.remove(&(t, *id)));
@@ -1378,7 +1387,8 @@
             }
             Outcome::Error if backend.error_rate > EJECTION_ERROR_RATE => self.eject(id, false),
             // One broken response or connection, as any backend may have, does not mean that the process has
-            // ended; a healthy backend would come back cold. If it has, the next connection breaks too.
+            // ended: a healthy backend that is taken for dead would come back cold. If the process has ended,
+            // the next connection breaks too.
             Outcome::ConnectFailed | Outcome::Reset => {
                 backend.failures += 1;
                 // Where the network breaks connections, all backends seem to have ended. If they all came
@@ -1393,13 +1403,15 @@
                         (Health::Ejected { until, backoff: BASE_EJECTION_TIME / 2.0, dead: false }, 0);
                 }
             }
-            // `full` may concern one class or plan although there is room for others: kept for each of them.
+            // `full` may concern one class or plan although there is room for others, so it is recorded for
+            // each of them.
             Outcome::Full => backend.last_full_at.extend(class_and_plan.map(|k| (k, now))),
             Outcome::Error | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
-    /// Gives the final answer to a request that was not served: refused if that is true, else failed.
+    /// Gives the final answer to a request that was not served: refused if it did not run or may run again,
+    /// else failed.
     fn give_up(&mut self, id: RequestId) {
         if self.may_refuse(id) {
             // Clients that get no advice come back at once and meet the same problem.
@@ -1498,9 +1510,10 @@
 
     // ---------------------------------------------------------------- limits that protect backends
 
-    /// Returns whether a backend's slow start allows another attempt now (rule 4): the sends to a cold
-    /// backend are limited to this gateway's share of the load that it bears. The full capacity is not told.
-    /// What each warm backend serves of this gateway's requests is at most that.
+    /// Returns whether a backend's slow start allows another attempt now. A cold backend collapses when it is
+    /// sent more than `collapse_multiple` times its present capacity throughout `collapse_after`. So the
+    /// sends to it are limited to this gateway's share of that load. The full capacity is not told; what each
+    /// warm backend serves of this gateway's requests is at most that.
     fn slow_start_allows(&self, backend: &Backend, usable: f64) -> bool {
         if self.capacity(backend) >= 1.0 {
             return true;
@@ -1561,8 +1574,9 @@
         }
     }
 
-    /// Returns the units left in this gateway's even share of a customer's ceiling (rule 5), if its plan has
-    /// one. The bucket starts empty, as a process that has restarted does not know what was spent before.
+    /// Returns the units left in this gateway's even share of a customer's ceiling, if its plan has one.
+    /// First attempts must never overdraw the ceiling, and with even shares those of all gateways together do
+    /// not. The bucket starts empty, as a process that has restarted does not know what was spent before.
     fn ceiling_level(&self, id: CustomerId) -> Option<f64> {
         let customer = &self.customers[&id];
         let ceiling = self.cfg.plans[customer.plan].ceiling?;
--- a/src/repeats.rs
+++ b/src/repeats.rs
@@ -9,7 +9,10 @@
         !matches!(attempt.outcome, Some(Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent))
     }
 
-    /// Returns whether an attempt of a request may be sent to a backend now (rules 2 and 3).
+    /// Returns whether an attempt of a request may be sent to a backend now. It may not after
+    /// the final answer, the beginning of a stream or the deadline, nor beyond the limits on attempts. A
+    /// request that may have run may be sent again only if it is pure, or if it is keyed and the backend is
+    /// in the group, and the time in the window, in which backends discard its repeats.
     pub(crate) fn may_send(&self, id: RequestId, backend: &Backend) -> bool {
         let request = &self.requests[&id];
         let max_attempts = self.cfg.max_attempts as usize;
@@ -44,7 +47,8 @@
         Some(first_run.sent_at.saturating_add(window))
     }
 
-    /// Returns whether a request may be answered as refused (rule 2): it did not run, or may run again.
+    /// Returns whether a request may be answered as refused, which promises that trying again is harmless: it
+    /// did not run, or may run again.
     pub(crate) fn may_refuse(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         match self.cfg.classes[request.class].effect {
--- a/src/state.rs
+++ b/src/state.rs
@@ -90,7 +90,7 @@
     pub(crate) sync_at: Option<Micros>,
     /// The requests held for a fresh total.
     #[serde(skip)]
-    pub(crate) held: Vec<HeldRequest>,
+    pub(crate) pending: Vec<HeldRequest>,
     /// How often fresh totals have recently found it over its quota, 0 to 1.
     #[serde(rename = "over")]
     pub(crate) over_quota_rate: f64,
@@ -98,7 +98,7 @@
     #[serde(rename = "judged_at")]
     pub(crate) quota_checked_at: Micros,
     /// The number of attempts in flight.
-    #[serde(skip)]
+    #[serde(skip, rename = "out")]
     pub(crate) in_flight: u32,
     /// The units left under this gateway's share of the ceiling, and the time to which they refer.
     pub(crate) ceiling: Option<(f64, Micros)>,
@@ -295,7 +295,7 @@
     pub(crate) deadline_timer: Option<(Micros, u64)>,
     /// The mean latency of each class, in microseconds.
     pub(crate) class_latency: Vec<f64>,
-    /// The latency of each class at idle backends, in microseconds: the least recent value of the mean.
+    /// The latency of each class at idle backends, in microseconds: the lowest recent value of the mean.
     pub(crate) class_idle_latency: Vec<f64>,
     /// The number of responses on which the latencies of each class rest, up to `BASELINE_SAMPLES`.
     pub(crate) class_samples: Vec<u32>,
@@ -552,8 +552,8 @@
     pub(crate) fn drop_held_request(&mut self, id: RequestId) {
         let Some(customer_id) = self.requests.get(&id).map(|r| r.customer) else { return };
         let Some(customer) = self.customers.get_mut(&customer_id) else { return };
-        let index = customer.held.iter().position(|h| h.id == id);
-        customer.current.unsent -= index.map_or(0.0, |index| customer.held.remove(index).counted);
+        let index = customer.pending.iter().position(|h| h.id == id);
+        customer.current.unsent -= index.map_or(0.0, |index| customer.pending.remove(index).counted);
     }
 
     /// Schedules a customer's next sync in `after` microseconds, unless an earlier one is scheduled.
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -74,7 +74,7 @@
     /// yet are included as if they were, as this process still adds them.
     pub fn handover_state(&self) -> HandoverState {
         let handed_over = |customer: &Customer| {
-            let mut copy = Customer { held: Vec::new(), sync_at: None, in_flight: 0, ..customer.clone() };
+            let mut copy = Customer { pending: Vec::new(), sync_at: None, in_flight: 0, ..customer.clone() };
             for count in [&mut copy.current, &mut copy.previous] {
                 // Units that are not on the counter yet are spent for the successor; this process adds them.
                 let own = std::mem::take(&mut count.unsent)
