--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -1,4 +1,4 @@
-//! Two processes of one gateway, on loopback sockets. Each test guards against one way to go wrong.
+//! Several processes of one gateway, on loopback sockets: takeover, shared operators' decisions, and units handed over.
 
 mod common;
 
@@ -11,64 +11,72 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-struct Scene {
-    start: GatewayOptions,
+/// One gateway whose processes share the clients' listener, discovery and the counter.
+struct GatewayFixture {
+    options: GatewayOptions,
     discovery: FakeDiscovery,
     counter: FakeServer,
-    numbers: CounterTotals,
-    /// Where it is not 0, the counter turns calls away, so many milliseconds after each came.
-    away: Arc<AtomicU64>,
+    totals: CounterTotals,
+    /// If not 0, the counter rejects calls, each after this many milliseconds.
+    reject_after_ms: Arc<AtomicU64>,
 }
 
-impl Scene {
+impl GatewayFixture {
     fn new(backends: &[&FakeServer]) -> Self {
         let entries =
             backends.iter().enumerate().map(|(i, b)| entry(&format!("s-{i}"), b.address, "SERVING"));
-        // A window of a minute.
-        let start = GatewayOptions {
+        // A quota window of a minute.
+        let options = GatewayOptions {
             platform: Some(Platform::new()),
             rate: 100.0,
             burst: 6000.0,
             ..GatewayOptions::default()
         };
-        let (numbers, away) = (CounterTotals::default(), Arc::<AtomicU64>::default());
-        let (adds, turns) = (numbers.clone(), away.clone());
-        let counter = FakeServer::start(move |call| match turns.load(Ordering::SeqCst) {
-            0 => ok(&adds.add(call)),
-            after => Reaction::Pieces(vec![(after, answer("503 No", "", ""))]),
+        let (totals, reject_after_ms) = (CounterTotals::default(), Arc::<AtomicU64>::default());
+        let (recorded, rejecting) = (totals.clone(), reject_after_ms.clone());
+        let counter = FakeServer::start(move |call| match rejecting.load(Ordering::SeqCst) {
+            0 => ok(&recorded.add(call)),
+            delay_ms => Reaction::Pieces(vec![(delay_ms, answer("503 No", "", ""))]),
         });
-        Scene { start, discovery: FakeDiscovery::start(entries.collect()), counter, numbers, away }
+        GatewayFixture {
+            options,
+            discovery: FakeDiscovery::start(entries.collect()),
+            counter,
+            totals,
+            reject_after_ms,
+        }
     }
 
-    /// One more process of the gateway.
-    fn process(&self) -> Gateway {
-        let process = Gateway::launch(&self.start, self.discovery.server.address, self.counter.address);
+    /// Starts one more process of the gateway, and waits until it serves.
+    fn start_process(&self) -> Gateway {
+        let process = Gateway::launch(&self.options, self.discovery.server.address, self.counter.address);
         process.wait_until_serving();
         process
     }
 
-    /// Where its processes meet.
+    /// Returns the path of the hand-over socket.
     fn socket(&self) -> std::path::PathBuf {
-        let address = self.start.platform.as_ref().expect("a platform").address();
+        let address = self.options.platform.as_ref().expect("a platform").address();
         self.folder().join(format!("{address}.sock"))
     }
 
+    /// Returns the folder of the hand-over socket.
     fn folder(&self) -> &std::path::Path {
-        &self.start.platform.as_ref().expect("a platform").folder
+        &self.options.platform.as_ref().expect("a platform").folder
     }
 }
 
-/// Guards against requests lost between two processes, and against clients held by the one that ends.
+/// Guards against requests lost between two processes, and against the ending process keeping its clients' connections.
 #[test]
 fn a_new_process_takes_over_from_one_that_serves() {
     let backend = FakeServer::start(|_| ok("x"));
-    let scene = Scene::new(&[&backend]);
-    let mut old = scene.process();
+    let fixture = GatewayFixture::new(&[&backend]);
+    let mut old = fixture.start_process();
     let mut kept = old.client();
     assert_eq!(kept.ask(&request("consulta", 1, 2000)).status(), 200);
-    let new = scene.process();
+    let new = fixture.start_process();
     old.terminate();
-    // Its other address tells that it ends; the clients' address serves on, whoever answers there.
+    // Only the operators' address shows that the old process ends; both processes answer on the clients' address.
     while old.ops_request("GET /ready").status() == 200 {}
     assert_eq!(new.health(), Some(200));
     let answer = kept.ask(&request("consulta", 2, 2000));
@@ -81,100 +89,104 @@
     assert_eq!(new.client().ask(&request("consulta", 9, 2000)).status(), 200);
 }
 
-/// Guards against a backend that operators restart being used by the process that was not told.
+/// Guards against a process that goes on using a backend, or accepting clients, after operators disabled the backend or
+/// began the drain at the other process.
 #[test]
 fn a_backend_out_by_hand_is_out_for_both_and_a_drain_too() {
     let backends = [FakeServer::start(|_| ok("0")), FakeServer::start(|_| ok("1"))];
-    let scene = Scene::new(&[&backends[0], &backends[1]]);
-    let old = scene.process();
+    let fixture = GatewayFixture::new(&[&backends[0], &backends[1]]);
+    let old = fixture.start_process();
     assert_eq!(old.ops_request("PUT /backends/disable?id=s-0").status(), 200);
-    let new = scene.process();
-    let skipped = |p: &Gateway, n: u32| while p.metrics()["skipped_backends"] != n {};
-    skipped(&new, 1);
+    let new = fixture.start_process();
+    let wait_for_skipped =
+        |process: &Gateway, count: u32| while process.metrics()["skipped_backends"] != count {};
+    wait_for_skipped(&new, 1);
     assert_eq!(new.ops_request("PUT /backends/enable?id=s-0").status(), 200);
-    skipped(&old, 0);
+    wait_for_skipped(&old, 0);
     assert_eq!(new.ops_request("PUT /backends/disable?id=s-1").status(), 200);
-    skipped(&old, 1);
+    wait_for_skipped(&old, 1);
     assert_eq!(old.ops_request("PUT /drain").status(), 200);
     while new.ops_request("GET /ready").status() == 200 {}
     assert_eq!(new.ops_request("PUT /undrain").status(), 200);
     while old.ops_request("GET /ready").status() != 200 {}
 }
 
-/// Guards against a ban or a drain that reaches the process beside the one that was told, and not the one behind that.
+/// Guards against a disabled backend or a drain that reaches the direct neighbour of the process that was told, but not
+/// the third process of the gateway.
 #[test]
 fn all_of_three_processes_are_told_of_bans_and_drains() {
     let backends = [FakeServer::start(|_| ok("0")), FakeServer::start(|_| ok("1"))];
-    let scene = Scene::new(&[&backends[0], &backends[1]]);
-    let processes: Vec<Gateway> = (0..3).map(|_| scene.process()).collect();
-    let until = Instant::now() + TEST_TIMEOUT;
-    let skipped = |n: u32| {
+    let fixture = GatewayFixture::new(&[&backends[0], &backends[1]]);
+    let processes: Vec<Gateway> = (0..3).map(|_| fixture.start_process()).collect();
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    let wait_for_skipped = |count: u32| {
         for process in &processes {
-            while process.metrics()["skipped_backends"] != n {
-                assert!(Instant::now() < until, "{} {}", process.metrics(), process.log());
+            while process.metrics()["skipped_backends"] != count {
+                assert!(Instant::now() < deadline, "{} {}", process.metrics(), process.log());
             }
         }
     };
-    for (told, taken_back) in [(0, 2), (1, 1), (2, 0)] {
-        assert_eq!(processes[told].ops_request("PUT /backends/disable?id=s-0").status(), 200);
-        skipped(1);
-        assert_eq!(processes[taken_back].ops_request("PUT /backends/enable?id=s-0").status(), 200);
-        skipped(0);
+    for (disabled_at, enabled_at) in [(0, 2), (1, 1), (2, 0)] {
+        assert_eq!(processes[disabled_at].ops_request("PUT /backends/disable?id=s-0").status(), 200);
+        wait_for_skipped(1);
+        assert_eq!(processes[enabled_at].ops_request("PUT /backends/enable?id=s-0").status(), 200);
+        wait_for_skipped(0);
     }
-    let ready = |status: u16| {
+    let wait_for_readiness = |status: u16| {
         for process in &processes {
             while process.ops_request("GET /ready").status() != status {
-                assert!(Instant::now() < until, "{}", process.log());
+                assert!(Instant::now() < deadline, "{}", process.log());
             }
         }
     };
     assert_eq!(processes[2].ops_request("PUT /drain").status(), 200);
-    ready(503);
+    wait_for_readiness(503);
     assert_eq!(processes[0].ops_request("PUT /undrain").status(), 200);
-    ready(200);
+    wait_for_readiness(200);
 }
 
-/// Guards against a start that fails for what another process left, or does not say.
+/// Guards against a start that fails because of a stale socket, or because the process at the hand-over socket sends
+/// nothing, an incomplete line or invalid messages.
 #[test]
 fn odd_state_does_not_keep_a_process_from_its_start() {
     let backend = FakeServer::start(|_| ok("x"));
-    for odd in [None, Some(&b""[..]), Some(b"{\"state\":{\"list\":"), Some(b"[1,2]\n{}\n")] {
-        let scene = Scene::new(&[&backend]);
-        let other = UnixListener::bind(scene.socket()).expect("a socket");
-        // A stale one is in the folder with nobody behind it.
-        let talk = odd.map(|text| {
+    for message in [None, Some(&b""[..]), Some(b"{\"state\":{\"list\":"), Some(b"[1,2]\n{}\n")] {
+        let fixture = GatewayFixture::new(&[&backend]);
+        let listener = UnixListener::bind(fixture.socket()).expect("a socket");
+        // Without a thread that accepts, the socket is stale.
+        let sender = message.map(|text| {
             std::thread::spawn(move || {
-                let (mut talk, _) = other.accept().expect("a caller");
-                talk.write_all(text).expect("it listens");
+                let (mut sender, _) = listener.accept().expect("a caller");
+                sender.write_all(text).expect("it listens");
             })
         });
-        let process = scene.process();
+        let process = fixture.start_process();
         assert_eq!(process.client().ask(&request("consulta", 1, 2000)).status(), 200);
-        talk.into_iter().for_each(|t| t.join().expect("the talk"));
+        sender.into_iter().for_each(|thread| thread.join().expect("the thread ends"));
     }
 }
 
-/// Guards against units that a process leaves and nobody adds, or two do: over upgrades in a row, and where the one
-/// in the middle of three ends first.
+/// Guards against unsynced units of an ending process that are never added to the counter, or added twice: over
+/// consecutive upgrades, and when the middle one of three processes ends first.
 #[test]
 fn what_a_process_leaves_is_added_once() {
-    for three in [false, true] {
+    for three_processes in [false, true] {
         let backend = FakeServer::start(|_| ok("x"));
-        let scene = Scene::new(&[&backend]);
-        let mut spent = 0.0;
+        let fixture = GatewayFixture::new(&[&backend]);
+        let mut spent_units = 0.0;
         let mut ask = |client: &mut Client| {
             assert_eq!(client.ask(&request("consulta", 1, 3000)).status(), 200);
-            spent += 1.0;
-            spent
+            spent_units += 1.0;
+            spent_units
         };
-        let mut first = scene.process();
+        let mut first = fixture.start_process();
         ask(&mut first.client());
-        let mut middle = scene.process();
-        if !three {
+        let mut middle = fixture.start_process();
+        if !three_processes {
             first.terminate();
             assert!(first.wait_for_exit().success());
         }
-        // A connection that the middle one has accepted.
+        // Connect until the middle process accepts: the processes share the listener.
         let passed = || middle.metrics()["passed"]["consulta"].as_u64();
         let mut client = loop {
             let (mut client, before) = (middle.client(), passed());
@@ -183,30 +195,30 @@
                 break client;
             }
         };
-        let last = scene.process();
-        scene.numbers.wait_for_sum(ask(&mut client));
-        // It ends with units that it could not tell the counter.
-        scene.away.store(1, Ordering::SeqCst);
-        let spent = ask(&mut client);
+        let last = fixture.start_process();
+        fixture.totals.wait_for_sum(ask(&mut client));
+        // The middle process ends with units that it could not add to the counter.
+        fixture.reject_after_ms.store(1, Ordering::SeqCst);
+        let spent_units = ask(&mut client);
         middle.terminate();
         assert!(middle.wait_for_exit().success());
-        scene.away.store(0, Ordering::SeqCst);
-        scene.numbers.wait_for_sum(spent);
+        fixture.reject_after_ms.store(0, Ordering::SeqCst);
+        fixture.totals.wait_for_sum(spent_units);
         std::thread::sleep(Duration::from_millis(1_500));
-        assert_eq!(scene.numbers.sum(), spent, "three: {three}");
+        assert_eq!(fixture.totals.sum(), spent_units, "three processes: {three_processes}");
         assert_eq!(last.ops_request("GET /ready").status(), 200);
     }
 }
 
-/// Guards against a handover that others on its socket prevent, whatever they say or leave out: the next process is
-/// told all the same, and what operators say then reaches both.
+/// Guards against a hand-over that other connections to its socket prevent, by silence or by invalid messages. The next
+/// process still receives the state, and later operators' decisions reach both processes.
 #[test]
 fn odd_talkers_do_not_keep_the_next_process_from_being_told() {
-    let talkers: [(&str, Vec<u8>); 6] = [
-        ("silence", Vec::new()),
-        ("half a line", b"{\"bar\":{\"name\":\"s-0\",\"out\":tr".to_vec()),
-        ("no word", b"[1,2]\n".to_vec()),
-        ("no text", vec![0xff; 1000]),
+    let cases: [(&str, Vec<u8>); 6] = [
+        ("nothing", Vec::new()),
+        ("an incomplete line", b"{\"bar\":{\"name\":\"s-0\",\"out\":tr".to_vec()),
+        ("an unknown message", b"[1,2]\n".to_vec()),
+        ("bytes that are not UTF-8", vec![0xff; 1000]),
         (
             "a state",
             b"{\"state\":{\"list\":{\"index\":1,\"snapshot\":true,\"endpoints\":[]},\"barred\":[]}}\n"
@@ -214,62 +226,64 @@
         ),
         ("a long line", vec![b' '; 9 << 20]),
     ];
-    for (what, words) in talkers {
-        for stays in [false, true] {
+    for (case, message) in cases {
+        for stays_open in [false, true] {
             let backends = [FakeServer::start(|_| ok("0")), FakeServer::start(|_| ok("1"))];
-            let scene = Scene::new(&[&backends[0], &backends[1]]);
-            let old = scene.process();
-            let talks: Vec<UnixStream> = (0..3)
+            let fixture = GatewayFixture::new(&[&backends[0], &backends[1]]);
+            let old = fixture.start_process();
+            let connections: Vec<UnixStream> = (0..3)
                 .map(|_| {
-                    let mut talk = UnixStream::connect(scene.socket()).expect("it listens");
-                    // It may be cut off in the middle.
-                    let _ = talk.write_all(&words);
-                    talk
+                    let mut connection = UnixStream::connect(fixture.socket()).expect("it listens");
+                    // The process may close the connection before it has read everything.
+                    let _ = connection.write_all(&message);
+                    connection
                 })
-                .filter(|_| stays)
+                .filter(|_| stays_open)
                 .collect();
-            let new = scene.process();
-            assert!(new.log().contains("another process of this gateway serves"), "{what}: {}", new.log());
+            let new = fixture.start_process();
+            assert!(new.log().contains("another process of this gateway serves"), "{case}: {}", new.log());
             assert_eq!(old.ops_request("PUT /backends/disable?id=s-1").status(), 200);
-            let until = Instant::now() + TEST_TIMEOUT;
+            let deadline = Instant::now() + TEST_TIMEOUT;
             while new.metrics()["skipped_backends"] != 1 {
-                assert!(Instant::now() < until, "{what}: the new one is not told");
+                assert!(Instant::now() < deadline, "{case}: the new process does not receive the change");
             }
-            assert_eq!(new.client().ask(&request("consulta", 1, 2000)).body, b"0", "{what}");
-            drop(talks);
+            assert_eq!(new.client().ask(&request("consulta", 1, 2000)).body, b"0", "{case}");
+            drop(connections);
         }
     }
 }
 
-/// Guards against a start that fails, or work that is not done, for want of a place to meet.
+/// Guards against a process that does not start or does not serve because its hand-over socket can't be created.
 #[test]
 fn a_process_serves_without_a_place_to_meet() {
     let backend = FakeServer::start(|_| ok("x"));
-    let spoil: [fn(&Scene); 4] = [
-        |scene| std::fs::remove_dir(scene.folder()).expect("it is empty"),
-        |scene| std::fs::set_permissions(scene.folder(), Permissions::from_mode(0o555)).expect("it is ours"),
-        |scene| std::fs::create_dir(scene.socket()).expect("it is ours"),
-        |scene| std::fs::write(scene.socket(), "no socket").expect("it is ours"),
+    let prevent_socket: [fn(&GatewayFixture); 4] = [
+        |fixture| std::fs::remove_dir(fixture.folder()).expect("it is empty"),
+        |fixture| {
+            std::fs::set_permissions(fixture.folder(), Permissions::from_mode(0o555)).expect("it is ours")
+        },
+        |fixture| std::fs::create_dir(fixture.socket()).expect("it is ours"),
+        |fixture| std::fs::write(fixture.socket(), "no socket").expect("it is ours"),
     ];
-    for spoil in spoil {
-        let scene = Scene::new(&[&backend]);
-        spoil(&scene);
-        let mut process = scene.process();
+    for prevent_socket in prevent_socket {
+        let fixture = GatewayFixture::new(&[&backend]);
+        prevent_socket(&fixture);
+        let mut process = fixture.start_process();
         assert_eq!(process.client().ask(&request("consulta", 1, 2000)).status(), 200);
         process.terminate();
         assert!(process.wait_for_exit().success());
     }
 }
 
-/// Guards against requests lost where the old process is told to end before the new one is ready.
+/// Guards against requests lost when the old process gets SIGTERM before the new one is ready.
 #[test]
 fn an_old_process_that_ends_too_soon_loses_nothing() {
     let backend = FakeServer::start(|_| ok("x"));
-    let scene = Scene::new(&[&backend]);
-    let mut old = scene.process();
-    let new = Gateway::launch(&scene.start, scene.discovery.server.address, scene.counter.address);
+    let fixture = GatewayFixture::new(&[&backend]);
+    let mut old = fixture.start_process();
+    let new = Gateway::launch(&fixture.options, fixture.discovery.server.address, fixture.counter.address);
     old.terminate();
-    // Until well after the one has ended and the other serves.
+    // The requests go on until well after the old process has ended and the new one serves.
     for customer in 0..400 {
         let answer = new.client().ask(&request("consulta", customer, 2000));
         assert_eq!(answer.status(), 200, "{}{}", new.log(), old.log());
@@ -279,142 +293,143 @@
     new.wait_until_serving();
 }
 
-/// Guards against half of the quota left unused for a process that hangs: it is given longer than it may take to be
-/// ready, and let go.
+/// Guards against half of the quota being reserved for ever for a process that hangs. The connection is closed once it
+/// of a silent process is closed after longer than a process may take to become ready.
 #[test]
 fn a_talker_that_says_nothing_is_let_go() {
-    let scene = Scene::new(&[]);
+    let fixture = GatewayFixture::new(&[]);
     let began = Instant::now();
-    let _process = Gateway::start(&scene.start, scene.discovery.server.address, scene.counter.address);
-    let mut talk = UnixStream::connect(scene.socket()).expect("it listens");
-    talk.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
-    let mut told = String::new();
-    talk.read_to_string(&mut told).expect("it ends");
-    assert!(told.starts_with("{\"state\":") && told.ends_with('\n'), "{told}");
+    let _process =
+        Gateway::start(&fixture.options, fixture.discovery.server.address, fixture.counter.address);
+    let mut connection = UnixStream::connect(fixture.socket()).expect("it listens");
+    connection.set_read_timeout(Some(TEST_TIMEOUT)).expect("a time-out");
+    let mut received = String::new();
+    connection.read_to_string(&mut received).expect("it ends");
+    assert!(received.starts_with("{\"state\":") && received.ends_with('\n'), "{received}");
     assert!(began.elapsed() > Duration::from_secs(6), "{:?}", began.elapsed());
 }
 
-/// Guards against units lost with calls that are out as a process ends: turned away then, they are added by the one
-/// that goes on.
+/// Guards against units lost with counter calls that are in flight as a process ends and are then rejected: the
+/// remaining process adds those units.
 #[test]
 fn what_is_turned_away_as_a_process_ends_is_added() {
     let backend = FakeServer::start(|_| ok("x"));
-    let mut scene = Scene::new(&[&backend]);
-    // A call may be out for longer than the end takes.
-    scene.start.changes = &[("\"count_limit_us\":80000", "\"count_limit_us\":2000000")];
-    let mut old = scene.process();
+    let mut fixture = GatewayFixture::new(&[&backend]);
+    // A call may take longer than the end of the process.
+    fixture.options.changes = &[("\"count_limit_us\":80000", "\"count_limit_us\":2000000")];
+    let mut old = fixture.start_process();
     let mut client = old.client();
     let mut ask = |customer| assert_eq!(client.ask(&request("consulta", customer, 3000)).status(), 200);
     (0..8).for_each(&mut ask);
-    scene.numbers.wait_for_sum(8.0);
-    let _new = scene.process();
-    scene.counter.requests.try_iter().for_each(drop);
-    scene.away.store(1_500, Ordering::SeqCst);
+    fixture.totals.wait_for_sum(8.0);
+    let _new = fixture.start_process();
+    fixture.counter.requests.try_iter().for_each(drop);
+    fixture.reject_after_ms.store(1_500, Ordering::SeqCst);
     (0..40).for_each(|n| ask(n % 8));
-    scene.counter.next_request();
+    fixture.counter.next_request();
     old.terminate();
     assert!(old.wait_for_exit().success());
-    scene.away.store(0, Ordering::SeqCst);
-    scene.numbers.wait_for_sum(48.0);
+    fixture.reject_after_ms.store(0, Ordering::SeqCst);
+    fixture.totals.wait_for_sum(48.0);
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(scene.numbers.sum(), 48.0);
+    assert_eq!(fixture.totals.sum(), 48.0);
 }
 
-/// Guards against units lost of customers that came first after the next process had been told what is known.
+/// Guards against lost units of customers whose first request came after the state had been sent to the next process.
 #[test]
 fn units_of_customers_that_only_the_ending_process_has_met_are_added() {
     let backend = FakeServer::start(|_| ok("x"));
-    let scene = Scene::new(&[&backend]);
-    let mut old = scene.process();
+    let fixture = GatewayFixture::new(&[&backend]);
+    let mut old = fixture.start_process();
     let mut client = old.client();
     let mut ask = |customer| assert_eq!(client.ask(&request("consulta", customer, 3000)).status(), 200);
     ask(1);
-    scene.numbers.wait_for_sum(1.0);
-    let _new = scene.process();
-    scene.away.store(1, Ordering::SeqCst);
+    fixture.totals.wait_for_sum(1.0);
+    let _new = fixture.start_process();
+    fixture.reject_after_ms.store(1, Ordering::SeqCst);
     (1..9).for_each(&mut ask);
     old.terminate();
     assert!(old.wait_for_exit().success());
-    scene.away.store(0, Ordering::SeqCst);
-    scene.numbers.wait_for_sum(9.0);
+    fixture.reject_after_ms.store(0, Ordering::SeqCst);
+    fixture.totals.wait_for_sum(9.0);
 }
 
-/// Guards against units that wait for the end of a long answer to be handed over, and are lost as SIGKILL comes first.
+/// Guards against units lost because their hand-over waits for the end of a long answer, and SIGKILL comes before that.
 #[test]
 fn units_are_handed_over_before_a_long_answer_ends() {
     let backend = backend_slow_for_customer_nine();
-    let scene = Scene::new(&[&backend]);
-    let old = scene.process();
-    let (mut client, mut long) = (old.client(), old.client());
+    let fixture = GatewayFixture::new(&[&backend]);
+    let old = fixture.start_process();
+    let (mut client, mut long_client) = (old.client(), old.client());
     let mut ask = |customer| assert_eq!(client.ask(&request("consulta", customer, 3000)).status(), 200);
     ask(1);
-    scene.numbers.wait_for_sum(1.0);
-    let _new = scene.process();
-    scene.away.store(1, Ordering::SeqCst);
-    long.send(&request("orden-nueva", 9, 5000));
-    assert_eq!(long.read_line(), "HTTP/1.1 200 OK");
+    fixture.totals.wait_for_sum(1.0);
+    let _new = fixture.start_process();
+    fixture.reject_after_ms.store(1, Ordering::SeqCst);
+    long_client.send(&request("orden-nueva", 9, 5000));
+    assert_eq!(long_client.read_line(), "HTTP/1.1 200 OK");
     (1..9).for_each(&mut ask);
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     old.terminate();
-    // SIGKILL comes no sooner.
-    std::thread::sleep(Duration::from_millis(3_700).saturating_sub(told.elapsed()));
+    // The earliest time of SIGKILL after SIGTERM.
+    std::thread::sleep(Duration::from_millis(3_700).saturating_sub(signalled_at.elapsed()));
     old.signal("-KILL");
-    scene.away.store(0, Ordering::SeqCst);
-    scene.numbers.wait_for_sum(10.0);
+    fixture.reject_after_ms.store(0, Ordering::SeqCst);
+    fixture.totals.wait_for_sum(10.0);
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(scene.numbers.sum(), 10.0);
+    assert_eq!(fixture.totals.sum(), 10.0);
 }
 
-/// Waits until the file is there.
-fn exists(path: &std::path::Path) {
-    let until = Instant::now() + TEST_TIMEOUT;
+/// Waits until the file exists.
+fn wait_for_file(path: &std::path::Path) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !path.exists() {
-        assert!(Instant::now() < until, "{} is not there", path.display());
+        assert!(Instant::now() < deadline, "{} does not exist", path.display());
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Guards against an upgrade that fails and is begun again: the second new process knew of no ban, and both processes
-/// spent the whole of the gateway's part.
+/// Guards against a process that gets no state after an earlier upgrade has failed. The second new process did not know
+/// the disabled backends, and each of the two processes spent the gateway's whole share of the quota.
 #[test]
 fn the_process_that_follows_a_failed_one_is_told_of_bans() {
     let (one, other) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
-    let scene = Scene::new(&[&one, &other]);
-    let old = scene.process();
+    let fixture = GatewayFixture::new(&[&one, &other]);
+    let old = fixture.start_process();
     assert_eq!(old.ops_request("PUT /backends/disable?id=s-0").status(), 200);
-    // Killed, as a version is that does not come up well.
-    drop(scene.process());
-    let until = Instant::now() + TEST_TIMEOUT;
+    // The new process is killed, like a version that fails after its start.
+    drop(fixture.start_process());
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !old.log().contains("the other process is gone") {
-        assert!(Instant::now() < until, "the end of the other process is not seen: {}", old.log());
+        assert!(Instant::now() < deadline, "the end of the other process is not noticed: {}", old.log());
         std::thread::sleep(Duration::from_millis(5));
     }
-    let new = scene.process();
+    let new = fixture.start_process();
     assert_eq!(new.metrics()["skipped_backends"], 1, "{}", new.log());
     assert!(new.log().contains("another process of this gateway serves"), "{}", new.log());
 }
 
-/// Guards against a folder that is cleaned up: a process could not be found any more.
+/// Guards against a process that later ones can't find because a clean-up of the folder removed its hand-over socket.
 #[test]
 fn the_place_to_meet_is_made_again_where_it_is_removed() {
     let (one, other) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
-    let scene = Scene::new(&[&one, &other]);
-    let old = scene.process();
+    let fixture = GatewayFixture::new(&[&one, &other]);
+    let old = fixture.start_process();
     assert_eq!(old.ops_request("PUT /backends/disable?id=s-0").status(), 200);
-    std::fs::remove_file(scene.socket()).expect("a socket");
-    exists(&scene.socket());
-    assert_eq!(scene.process().metrics()["skipped_backends"], 1);
+    std::fs::remove_file(fixture.socket()).expect("a socket");
+    wait_for_file(&fixture.socket());
+    assert_eq!(fixture.start_process().metrics()["skipped_backends"], 1);
 }
 
-/// Guards against a place to meet that can't be had at the start, and is not looked for again.
+/// Guards against a hand-over socket that can't be created at the start and is not tried again.
 #[test]
 fn the_place_to_meet_is_made_once_its_folder_is_there() {
     let (one, other) = (FakeServer::start(|_| ok("x")), FakeServer::start(|_| ok("x")));
-    let scene = Scene::new(&[&one, &other]);
-    std::fs::remove_dir_all(scene.folder()).expect("a folder");
-    let old = scene.process();
+    let fixture = GatewayFixture::new(&[&one, &other]);
+    std::fs::remove_dir_all(fixture.folder()).expect("a folder");
+    let old = fixture.start_process();
     assert_eq!(old.ops_request("PUT /backends/disable?id=s-0").status(), 200);
-    std::fs::create_dir_all(scene.folder()).expect("a folder");
-    exists(&scene.socket());
-    assert_eq!(scene.process().metrics()["skipped_backends"], 1);
+    std::fs::create_dir_all(fixture.folder()).expect("a folder");
+    wait_for_file(&fixture.socket());
+    assert_eq!(fixture.start_process().metrics()["skipped_backends"], 1);
 }
--- a/node/tests/ops.rs
+++ b/node/tests/ops.rs
@@ -1,50 +1,52 @@
-//! The operators' door, on loopback sockets. Each test guards against one way to go wrong.
+//! The operators' server of the gateway process, on loopback sockets.
 
 mod common;
 
 use common::*;
 use std::time::{Duration, Instant};
 
+/// Starts a gateway with these backends, its discovery and its counter.
 fn gateway(backends: &[&FakeServer]) -> (Gateway, FakeDiscovery, FakeServer) {
     let Fixture { gateway, discovery, counter } =
         Fixture::new(&GatewayOptions::default(), serving_entries(backends), fake_counter());
     (gateway, discovery, counter)
 }
 
-/// Guards against work sent to a backend that operators restart, also after a list that names it anew.
+/// Guards against requests sent to a backend that operators have disabled, also after a list has removed it and a later
+/// one has named it again.
 #[test]
 fn a_backend_taken_out_gets_nothing_until_it_is_put_back() {
     let backends = [FakeServer::start(|_| ok("0")), FakeServer::start(|_| ok("1"))];
     let (gateway, discovery, _counter) = gateway(&[&backends[0], &backends[1]]);
     let mut client = gateway.client();
-    let mut served = || -> Vec<Vec<u8>> {
+    let mut successful_bodies = || -> Vec<Vec<u8>> {
         (0..12).map(|n| client.ask(&request("consulta", n, 2000)).body).filter(|b| b.len() == 1).collect()
     };
     for _ in 0..2 {
         assert_eq!(gateway.ops_request("PUT /backends/disable?id=s-0").status(), 200);
     }
-    assert!(served().iter().all(|b| b == b"1"));
+    assert!(successful_bodies().iter().all(|b| b == b"1"));
     discovery.set(vec![entry("s-1", backends[1].address, "SERVING")]);
     discovery.wait_until_list_received();
     discovery.set((0..2).map(|i| entry(&format!("s-{i}"), backends[i].address, "SERVING")).collect());
     discovery.wait_until_list_received();
-    assert!(served().iter().all(|b| b == b"1"));
+    assert!(successful_bodies().iter().all(|b| b == b"1"));
     assert_eq!(gateway.metrics()["skipped_backends"], 1);
     assert_eq!(gateway.ops_request("PUT /backends/enable?id=s-0").status(), 200);
     assert_eq!(gateway.metrics()["skipped_backends"], 0);
     assert_eq!(gateway.ops_request("PUT /backends/disable?id=s-1").status(), 200);
-    let until = Instant::now() + TEST_TIMEOUT;
-    while !served().contains(&b"0".to_vec()) {
-        assert!(Instant::now() < until, "a backend that was put back stays unused");
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while !successful_bodies().contains(&b"0".to_vec()) {
+        assert!(Instant::now() < deadline, "a backend that was enabled again stays unused");
     }
 }
 
-/// Guards against a yes to a call that was not carried out.
+/// Guards against a success status for a call that was not carried out.
 #[test]
 fn what_is_no_call_is_owed_a_no() {
     let backend = FakeServer::start(|_| ok("x"));
     let (gateway, _discovery, _counter) = gateway(&[&backend]);
-    let wrong = [
+    let invalid_calls = [
         ("PUT /backends/disable?id=s-9", 404),
         ("PUT /backends/enable?id=s-9", 404),
         ("PUT /backends/disable", 400),
@@ -55,15 +57,15 @@
         ("GET /", 404),
         ("nonsense", 400),
     ];
-    for (call, status) in wrong {
+    for (call, status) in invalid_calls {
         assert_eq!(gateway.ops_request(call).status(), status, "{call}");
     }
-    // Half a call does nothing.
+    // An incomplete call has no effect.
     gateway.ops_client().send("PUT /drain HTTP/1.1\r\nhost: t\r\ncontent-length: 5\r\n\r\nab");
     assert_eq!(gateway.ops_request("GET /ready").status(), 200);
 }
 
-/// Guards against operators shut out by callers that say nothing.
+/// Guards against connections without a request that lock the operators out.
 #[test]
 fn silent_callers_delay_no_other() {
     let backend = FakeServer::start(|_| ok("x"));
@@ -74,7 +76,7 @@
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
 
-/// Guards against clients that stay on a gateway in a drain, and against a drain that does not end.
+/// Guards against clients that keep their connections to a draining gateway, and against a drain that can't be undone.
 #[test]
 fn a_drain_sends_clients_away_until_its_end() {
     let backend = FakeServer::start(|_| ok("x"));
@@ -83,7 +85,7 @@
     assert_eq!(idle.ask(&request("consulta", 1, 2000)).header("connection"), None);
     assert_eq!(gateway.ops_request("PUT /drain").status(), 200);
     assert_eq!((gateway.health(), gateway.ops_request("GET /ready").status()), (Some(503), 503));
-    // What comes still is served, and is the last on its connection.
+    // A request during the drain is served, and is the last on its connection.
     let answer = busy.ask(&request("consulta", 2, 2000));
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert!(busy.at_eof() && idle.at_eof());
@@ -95,10 +97,10 @@
     }
 }
 
-/// Guards against figures that do not tell what became of requests and attempts.
+/// Guards against metrics that don't show the results of requests and attempts.
 #[test]
 fn the_figures_count_each_request_once() {
-    let backend = FakeServer::start(|seen| match seen.path() {
+    let backend = FakeServer::start(|request| match request.path() {
         path if path.contains("orden") => Reaction::Close,
         path if path.ends_with("9") => Reaction::Silence,
         _ => ok("x"),
@@ -109,22 +111,22 @@
         assert_eq!(client.ask(&request("consulta", n, 2000)).status(), 200);
     }
     assert_eq!(client.ask(&request("orden-nueva", 4, 2000)).status(), 504);
-    let mut waits = gateway.client();
-    waits.send(&request("consulta", 9, 2500));
+    let mut waiting_client = gateway.client();
+    waiting_client.send(&request("consulta", 9, 2500));
     while !backend.next_request().path().ends_with("9") {}
-    let seen = gateway.metrics();
-    assert_eq!(seen["passed"], serde_json::json!({"consulta": 3, "modificar": 0, "orden-nueva": 0}));
-    assert_eq!(seen["bad_gateway"]["orden-nueva"], 1);
-    assert_eq!(seen["dropped"]["consulta"], 0);
-    assert_eq!((&seen["upstream_tries"], &seen["in_progress"]), (&5.into(), &1.into()));
-    assert_eq!((&seen["known_backends"], &seen["skipped_backends"]), (&1.into(), &0.into()));
+    let metrics = gateway.metrics();
+    assert_eq!(metrics["passed"], serde_json::json!({"consulta": 3, "modificar": 0, "orden-nueva": 0}));
+    assert_eq!(metrics["bad_gateway"]["orden-nueva"], 1);
+    assert_eq!(metrics["dropped"]["consulta"], 0);
+    assert_eq!((&metrics["upstream_tries"], &metrics["in_progress"]), (&5.into(), &1.into()));
+    assert_eq!((&metrics["known_backends"], &metrics["skipped_backends"]), (&1.into(), &0.into()));
     gateway.ops_request("PUT /backends/disable?id=s-0");
     assert!(client.ask(&request("consulta", 5, 2000)).status() >= 429);
     assert_eq!(gateway.metrics()["dropped"]["consulta"], 1);
 }
 
-/// Guards against a call that is cut off before it was heard: it came first of many that stood in the door's line
-/// while the process had no processor, the others say nothing.
+/// Guards against closing the connection of a call before the call is read. The process was stopped while the call and
+/// many connections without a request entered the accept queue of the operators' server.
 #[test]
 fn a_call_that_came_before_silent_callers_is_answered() {
     let backend = FakeServer::start(|_| ok("x"));
@@ -144,16 +146,16 @@
     assert!(began.elapsed() < Duration::from_secs(1), "{:?}", began.elapsed());
 }
 
-/// Guards against calls that are heard in part, twice or not at all, and against an answer that its caller can't read:
-/// what is sent in pieces, too much or in odd forms.
+/// Guards against calls that are read in part, twice or not at all, and against answers that the caller can't read,
+/// where a call comes in pieces, is too long or has an unusual form.
 #[test]
 fn odd_calls_get_their_one_answer_and_do_only_what_they_say() {
     let backend = FakeServer::start(|_| ok("x"));
     let (gateway, discovery, _counter) = gateway(&[&backend]);
-    let call = |line: &str, rest: &str| format!("{line} HTTP/1.1\r\nhost: t\r\n{rest}");
-    let long = "y".repeat(7000);
+    let call = |line: &str, fields_and_body: &str| format!("{line} HTTP/1.1\r\nhost: t\r\n{fields_and_body}");
+    let long_id = "y".repeat(7000);
     let cases = [
-        // Clients' bytes behind a call are no call.
+        // Bytes behind a call are not taken for another call.
         (call("GET /ready", "\r\n") + &call("PUT /drain", "\r\n"), 200),
         (call("GET /ready", "\r\n").repeat(3000), 200),
         (call("GET /ready", "content-length: 1024\r\n\r\n") + &"x".repeat(1024), 200),
@@ -172,8 +174,8 @@
         (call("PUT /backends/disable?ID=s-0", "\r\n"), 400),
         (call("PUT /backends/disable?id=s-0%00", "\r\n"), 404),
         (call("PUT /backends/disable?id=%ff%zz", "\r\n"), 404),
-        (call(&format!("PUT /backends/disable?id={long}"), "\r\n"), 404),
-        (call(&format!("PUT /backends/disable?id={long}{long}"), "\r\n"), 431),
+        (call(&format!("PUT /backends/disable?id={long_id}"), "\r\n"), 404),
+        (call(&format!("PUT /backends/disable?id={long_id}{long_id}"), "\r\n"), 431),
         (call("PUT /backends/enable?id=s-0", "\r\n"), 200),
         (call("PUT /backends/enable?x=1&id=s%2D0", "\r\n"), 200),
         (call("PUT /drain/", "\r\n"), 404),
@@ -185,12 +187,12 @@
         let mut caller = gateway.ops_client();
         caller.send_ignoring_errors(&text);
         assert_eq!(caller.read_answer().map(|a| a.status()), Some(status), "{shown}");
-        assert!(caller.at_eof(), "{shown}: it is not ended well");
+        assert!(caller.at_eof(), "{shown}: the connection is not closed properly");
         assert!(began.elapsed() < Duration::from_secs(1), "{shown}: {:?}", began.elapsed());
         assert_eq!(gateway.ops_request("GET /ready").status(), 200, "{shown}");
         assert_eq!(gateway.metrics()["skipped_backends"], 0, "{shown}");
     }
-    // In pieces over 2.5 s, with silent callers beside it; another beyond 3 s is over.
+    // The first call arrives in pieces over 2.5 s, beside silent callers; the second is closed, incomplete, after 3 s.
     let mut callers = [gateway.ops_client(), gateway.ops_client()];
     let text = call("PUT /backends/disable?id=s-0", "content-length: 2\r\n\r\nxy");
     let _silent: Vec<Client> = (0..6).map(|_| gateway.ops_client()).collect();
@@ -203,7 +205,7 @@
     assert_eq!(callers[0].read_answer().map(|a| a.status()), Some(200));
     assert!(callers[1].closed_or_error());
     assert_eq!(gateway.metrics()["skipped_backends"], 1);
-    // Out by hand and gone; a second way back in is a way in for none.
+    // A disabled backend that has gone can be enabled once; later calls don't find it.
     discovery.set(vec![entry("s-0", backend.address, "DELETED")]);
     discovery.wait_until_list_received();
     let statuses = ["disable", "enable", "enable", "disable"]
@@ -211,8 +213,8 @@
     assert_eq!(statuses, [200, 200, 404, 404]);
 }
 
-/// Guards against a drain that outlives its end, and against a process that ends and is told otherwise: calls in quick
-/// turns, up to its last moment, while clients are served.
+/// Guards against a drain that stays in force after it is undone, and against calls that make an ending process ready
+/// again: calls in quick succession, up to the last moment of the process, while clients are served.
 #[test]
 fn calls_in_quick_turns_and_at_the_end() {
     let backend = FakeServer::start(|_| ok("x"));
@@ -225,7 +227,7 @@
     }
     gateway.terminate();
     while gateway.ops_request("GET /ready").status() == 200 {}
-    let (mut answered, mut cut) = (0, 0);
+    let (mut answered, mut cut_off) = (0, 0);
     while let Ok(stream) = std::net::TcpStream::connect(gateway.ops) {
         let mut caller = Client::from_stream(stream);
         caller.send_ignoring_errors(&format!(
@@ -234,11 +236,11 @@
         ));
         match caller.read_answer() {
             Some(answer) => assert_eq!(answer.status(), [200, 503][answered % 2]),
-            None => cut += 1,
+            None => cut_off += 1,
         }
         answered += 1;
     }
     assert!(gateway.wait_for_exit().success());
-    // One that crosses the very end is cut off with the process.
-    assert!(answered > 20 && cut <= 1, "{cut} of {answered} cut off");
+    // One call may still be open when the process exits.
+    assert!(answered > 20 && cut_off <= 1, "{cut_off} of {answered} cut off");
 }
--- a/node/tests/readiness.rs
+++ b/node/tests/readiness.rs
@@ -1,5 +1,4 @@
-//! Processes that are restarted together: how long until they serve, whatever list they have and whatever discovery
-//! does meanwhile.
+//! Processes that are restarted together become ready in time, with any initial list and any state of discovery.
 
 mod common;
 
@@ -7,54 +6,65 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Processes of each case.
+/// The number of processes of each case.
 const PROCESSES: usize = 10;
-const AWAY: Duration = Duration::from_secs(4);
-/// Nine in ten are ready by then.
-const READY: Duration = Duration::from_secs(10);
+/// How long discovery is unavailable at first, in the states `Refused` and `Silent`.
+const UNAVAILABLE_FOR: Duration = Duration::from_secs(4);
+/// The time limit for nine in ten processes to become ready.
+const READY_TIME_LIMIT: Duration = Duration::from_secs(10);
+/// Settings for 300 gateways and lists pushed by discovery.
 const PUSHED: &[(&str, &str)] = &[("\"balancers\":2", "\"balancers\":300")];
-const ASKED: &[(&str, &str)] =
+/// Settings for 300 gateways and lists requested from discovery.
+const REQUESTED: &[(&str, &str)] =
     &[("\"balancers\":2", "\"balancers\":300"), ("\"discovery\":\"pushed\"", "\"discovery\":\"on_request\"")];
 
+/// The state of discovery while the processes start.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum State {
+enum DiscoveryState {
+    /// Each answer comes at once.
     Up,
-    /// Each answer takes so long.
+    /// Each answer takes this long.
     Slow(Duration),
-    /// Nobody listens at first.
+    /// Connections are refused at first.
     Refused,
-    /// Calls made at first are never answered.
+    /// Calls that arrive at first are never answered.
     Silent,
 }
 
-fn discovery(address: SocketAddr, state: State, text: String) -> FakeServer {
+/// Starts discovery in this state, with this list.
+fn start_discovery(address: SocketAddr, state: DiscoveryState, text: String) -> FakeServer {
     let began = Instant::now();
-    if state == State::Refused {
-        std::thread::sleep(AWAY);
+    if state == DiscoveryState::Refused {
+        std::thread::sleep(UNAVAILABLE_FOR);
     }
-    FakeServer::with_listener(TcpListener::bind(address).expect("a free port"), move |seen| {
-        let away = state == State::Silent && began.elapsed() < AWAY;
-        if let State::Slow(by) = state {
-            std::thread::sleep(by);
+    FakeServer::with_listener(TcpListener::bind(address).expect("a free port"), move |request| {
+        let unavailable = state == DiscoveryState::Silent && began.elapsed() < UNAVAILABLE_FOR;
+        if let DiscoveryState::Slow(delay) = state {
+            std::thread::sleep(delay);
         }
-        // Who holds this list hears of no other.
-        if away || seen.path().contains("index=7&") {
+        // A watch from this list on gets no answer: there is no later list.
+        if unavailable || request.path().contains("index=7&") {
             return Reaction::Silence;
         }
         ok(&text)
     })
 }
 
-/// Guards against processes that stay out of service after a restart of all: 300 gateways in the settings, from an
-/// old list, an empty one and none, while discovery is up, slow, or comes back after some seconds.
+/// Guards against processes that stay out of service after all have been restarted: with 300 gateways in the settings,
+/// with an old list, an empty one or none, while discovery is up, slow, or unavailable for some seconds.
 #[test]
 fn nine_in_ten_processes_restarted_together_are_ready_within_10_s() {
     let backend = FakeServer::start(|_| ok("x"));
     let serving = [entry("s-0", backend.address, "SERVING")];
     let known = [("old", Some(list(3, true, &serving))), ("empty", Some(list(3, true, &[]))), ("no", None)];
-    let states = [State::Up, State::Slow(Duration::from_millis(1_500)), State::Refused, State::Silent];
+    let states = [
+        DiscoveryState::Up,
+        DiscoveryState::Slow(Duration::from_millis(1_500)),
+        DiscoveryState::Refused,
+        DiscoveryState::Silent,
+    ];
     let mut cases = Vec::new();
-    for (mode, changes) in [("pushed", PUSHED), ("asked", ASKED)] {
+    for (mode, changes) in [("pushed", PUSHED), ("requested", REQUESTED)] {
         for state in states {
             for (name, known) in &known {
                 cases.push((format!("{mode}, {name} list, {state:?}"), changes, state, known.clone()));
@@ -62,22 +72,22 @@
         }
     }
     let current = list(7, true, &serving);
-    let all: Vec<(String, Vec<Duration>)> = std::thread::scope(|scope| {
+    let results: Vec<(String, Vec<Duration>)> = std::thread::scope(|scope| {
         let case = |(name, changes, state, known)| {
-            let (current, at) = (current.clone(), unused_address());
+            let (current, address) = (current.clone(), unused_address());
             scope.spawn(move || {
                 let began = Instant::now();
-                let started = std::thread::spawn(move || discovery(at, state, current));
-                let start = GatewayOptions { known, changes, ..GatewayOptions::default() };
-                let launch = |_| (Gateway::launch(&start, at, unused_address()), None);
+                let discovery_thread = std::thread::spawn(move || start_discovery(address, state, current));
+                let options = GatewayOptions { known, changes, ..GatewayOptions::default() };
+                let launch = |_| (Gateway::launch(&options, address, unused_address()), None);
                 let mut gateways: Vec<(Gateway, Option<Duration>)> = (0..PROCESSES).map(launch).collect();
-                while gateways.iter().any(|g| g.1.is_none()) && began.elapsed() < 3 * READY {
+                while gateways.iter().any(|g| g.1.is_none()) && began.elapsed() < 3 * READY_TIME_LIMIT {
                     for (gateway, ready) in gateways.iter_mut().filter(|g| g.1.is_none()) {
                         *ready = (gateway.health() == Some(200)).then(|| began.elapsed());
                     }
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                drop(started.join());
+                drop(discovery_thread.join());
                 let mut times: Vec<_> = gateways.iter().map(|g| g.1.unwrap_or(Duration::MAX)).collect();
                 times.sort();
                 (name, times)
@@ -86,14 +96,14 @@
         let running: Vec<_> = cases.into_iter().map(case).collect();
         running.into_iter().map(|r| r.join().expect("it ends")).collect()
     });
-    for (name, times) in &all {
+    for (name, times) in &results {
         println!(
             "{name}: half ready after {:.1?}, all after {:.1?}",
             times[PROCESSES / 2],
             times[PROCESSES - 1]
         );
     }
-    for (name, times) in &all {
-        assert!(times[PROCESSES * 9 / 10 - 1] < READY, "{name}: {times:?}");
+    for (name, times) in &results {
+        assert!(times[PROCESSES * 9 / 10 - 1] < READY_TIME_LIMIT, "{name}: {times:?}");
     }
 }
--- a/node/tests/stale_requests.rs
+++ b/node/tests/stale_requests.rs
@@ -1,60 +1,64 @@
-//! Requests that have waited unread: in the listener's line, or while the process was held up.
+//! Requests that have waited unread, in the listener's accept queue or while the process could not run.
 
 mod common;
 
 use common::*;
 use std::time::{Duration, Instant};
 
-/// What a backend may be told beyond what the client has left.
-const SLACK: Duration = Duration::from_millis(150);
+/// How much the time left that a backend receives may exceed the client's time left.
+const MAX_EXCESS: Duration = Duration::from_millis(150);
 
-/// Checks what the next attempt was told against what its client has left.
-fn told_at_most(backend: &FakeServer, sent: Instant, wait: Duration) {
-    let seen = backend.next_request();
-    let told = seen.header("x-time-left-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
-    let left = wait.saturating_sub(seen.received_at - sent);
-    assert!(told.expect("a time") <= left + SLACK, "told {told:?}, {left:?} are left");
+/// Checks the time left that the backend's next request states against that of the client, which has sent its request
+/// at `sent` and waits for `wait` in all.
+fn assert_time_left(backend: &FakeServer, sent: Instant, wait: Duration) {
+    let attempt = backend.next_request();
+    let stated = attempt.header("x-time-left-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
+    let left = wait.saturating_sub(attempt.received_at - sent);
+    assert!(
+        stated.expect("a time") <= left + MAX_EXCESS,
+        "the backend is told {stated:?}, the client has {left:?} left"
+    );
 }
 
-/// Guards against a deadline that counts from when a request is read, not from when it came: the platform holds the
-/// clients' socket, and requests come before the process that is to take them.
+/// Guards against a deadline that counts from when a request is read instead of from when it arrived. The platform
+/// holds the clients' listener, so that requests arrive before the process starts.
 #[test]
 fn time_in_the_listeners_line_counts() {
     let backend = FakeServer::start(|_| ok("x"));
     let (discovery, counter) = (FakeDiscovery::start(serving_entries(&[&backend])), fake_counter());
     let platform = Platform::new();
     let wait = Duration::from_secs(3);
-    let mut early =
+    let mut long_deadline =
         Client::from_stream(std::net::TcpStream::connect(platform.address()).expect("a place in the line"));
-    early.send(&request("consulta", 9, 3_000));
+    long_deadline.send(&request("consulta", 9, 3_000));
     let sent = Instant::now();
-    let mut late =
+    let mut short_deadline =
         Client::from_stream(std::net::TcpStream::connect(platform.address()).expect("a place in the line"));
-    late.send(&request("consulta", 8, 300));
+    short_deadline.send(&request("consulta", 8, 300));
     std::thread::sleep(Duration::from_millis(900));
     let known = Some(list(1, true, &serving_entries(&[&backend])));
-    let start = GatewayOptions { platform: Some(platform), known, ..GatewayOptions::default() };
-    let _gateway = Gateway::launch(&start, discovery.server.address, counter.address);
-    assert_eq!(early.read_answer().expect("an answer").status(), 200);
-    told_at_most(&backend, sent, wait);
-    // Its time was over before it was read.
-    assert_ne!(late.read_answer().expect("an answer").status(), 200);
-    assert!(backend.requests.try_recv().is_err(), "a request went on whose time was over");
+    let options = GatewayOptions { platform: Some(platform), known, ..GatewayOptions::default() };
+    let _gateway = Gateway::launch(&options, discovery.server.address, counter.address);
+    assert_eq!(long_deadline.read_answer().expect("an answer").status(), 200);
+    assert_time_left(&backend, sent, wait);
+    // The deadline of this request had passed before the process read it.
+    assert_ne!(short_deadline.read_answer().expect("an answer").status(), 200);
+    assert!(backend.requests.try_recv().is_err(), "a request was sent to a backend after its deadline");
 }
 
-/// The same where the process is held up.
+/// Guards against a deadline that leaves out the time in which the process could not run.
 #[test]
 fn time_in_which_the_process_was_held_up_counts() {
     let backend = FakeServer::start(|_| ok("x"));
-    let scene = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
-    let mut client = scene.gateway.client();
+    let fixture = Fixture::new(&GatewayOptions::default(), serving_entries(&[&backend]), fake_counter());
+    let mut client = fixture.gateway.client();
     assert_eq!(client.ask(&request("consulta", 9, 3_000)).status(), 200);
     backend.next_request();
-    scene.gateway.signal("-STOP");
+    fixture.gateway.signal("-STOP");
     client.send(&request("consulta", 9, 1_000));
     let sent = Instant::now();
     std::thread::sleep(Duration::from_millis(400));
-    scene.gateway.signal("-CONT");
+    fixture.gateway.signal("-CONT");
     assert_eq!(client.read_answer().expect("an answer").status(), 200);
-    told_at_most(&backend, sent, Duration::from_secs(1));
+    assert_time_left(&backend, sent, Duration::from_secs(1));
 }
