--- a/node/tests/handover.rs
+++ b/node/tests/handover.rs
@@ -293,8 +293,8 @@
     new.wait_until_serving();
 }
 
-/// Guards against half of the quota being reserved for ever for a process that hangs. The connection is closed once it
-/// of a silent process is closed after longer than a process may take to become ready.
+/// Guards against half of the gateway's share staying reserved for a process that hangs: the connection of a silent
+/// process is closed after a time that is longer than a process may take to become ready.
 #[test]
 fn a_talker_that_says_nothing_is_let_go() {
     let fixture = GatewayFixture::new(&[]);
--- a/node/tests/long_uploads.rs
+++ b/node/tests/long_uploads.rs
@@ -171,7 +171,7 @@
 }
 
 /// Returns a client that has sent a part of its body, and has received the beginning of an answer that never ends.
-fn half_sent_and_half_answered() -> (Fixture, Client) {
+fn client_with_partial_answer() -> (Fixture, Client) {
     let (address, _connections) = early_answering_backend(
         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n".to_owned(),
     );
@@ -187,7 +187,7 @@
 /// the body, like that of any other answer.
 #[test]
 fn an_early_answer_that_never_ends() {
-    let (fixture, mut client) = half_sent_and_half_answered();
+    let (fixture, mut client) = client_with_partial_answer();
     let body_sent_at = Instant::now();
     client.send(&"y".repeat(BODY_BYTES - 100_000));
     client.read_to_end();
@@ -200,7 +200,7 @@
 /// answer.
 #[test]
 fn an_early_answer_whose_client_stops_sending() {
-    let (fixture, mut client) = half_sent_and_half_answered();
+    let (fixture, mut client) = client_with_partial_answer();
     let began = Instant::now();
     client.read_to_end();
     let (elapsed, log) = (began.elapsed(), fixture.gateway.log());
