--- a/soak/src/oracle/limits.rs
+++ b/soak/src/oracle/limits.rs
@@ -3,7 +3,7 @@
 use super::view::View;
 use super::{Found, Invariant};
 use crate::scenario::{GREEDY_CUSTOMER, GREEDY_PLAN};
-use crate::trace::{AttemptEnd, BackendIndex, Entry, Event, GatewayIndex, Moment, ToldState};
+use crate::trace::{AttemptOutcome, BackendIndex, BackendState, Entry, Event, GatewayIndex, Moment};
 use std::time::Duration;
 
 /// Of a fall, this part must have come from gateways that had been told of the start.
@@ -33,7 +33,7 @@
 
 fn check_slow_start(view: &View<'_>, backend: BackendIndex, start: Moment, found: &mut Vec<Found>) {
     let settings = &view.scenario.settings;
-    let span = Duration::from_millis(settings.fall_after_ms);
+    let span = Duration::from_millis(settings.collapse_after_ms);
     let warm_up = Duration::from_millis(settings.warm_up_ms);
     let capacity = view.scenario.slots as f64 * 1e3 / view.scenario.work_ms;
     let next = view.entries.iter().filter(|e| e.at > start);
@@ -46,9 +46,9 @@
         .map(|a| (a.began, told_of_start(view, a.gateway, backend, start, a.first_byte)))
         .collect();
     for (last, (at, _)) in sends.iter().enumerate() {
-        let warmth = settings.cold_from
-            + (1.0 - settings.cold_from) * (*at - start).as_secs_f64() / warm_up.as_secs_f64();
-        let bound = fall_bound(settings.fall_multiple * warmth.min(1.0) * capacity * span.as_secs_f64());
+        let warmth = settings.cold_capacity
+            + (1.0 - settings.cold_capacity) * (*at - start).as_secs_f64() / warm_up.as_secs_f64();
+        let bound = fall_bound(settings.collapse_multiple * warmth.min(1.0) * capacity * span.as_secs_f64());
         let within = sends[..=last].iter().filter(|(t, _)| *t + span > *at);
         let (all, told) = within.fold((0, 0), |(all, told), (_, knew)| (all + 1, told + usize::from(*knew)));
         if all as f64 > bound && told as f64 > all as f64 * TOLD_PART {
@@ -66,9 +66,9 @@
     start: Moment,
     at: Moment,
 ) -> bool {
-    let serving = ToldState::Serving;
+    let serving = BackendState::Serving;
     view.entries.iter().filter(|e| e.at >= start && e.at <= at).any(|e| {
-        matches!(&e.event, Event::Told { gateway: g, backend: b, state } if (*g, *b, *state) == (gateway, backend, serving))
+        matches!(&e.event, Event::StateDelivered { gateway: g, backend: b, state } if (*g, *b, *state) == (gateway, backend, serving))
     })
 }
 
@@ -106,7 +106,7 @@
         found.push(Found::new(Invariant::Quota, to, what));
     }
     let served = view.attempts.iter().filter(|a| a.began >= from && a.began < to);
-    let served = served.filter(|a| matches!(a.end, Some((_, AttemptEnd::Served))));
+    let served = served.filter(|a| matches!(a.end, Some((_, AttemptOutcome::Served))));
     let greedy = |id| view.sent.get(&id).is_some_and(|(_, request)| request.customer == GREEDY_CUSTOMER);
     let served = served.filter(|a| greedy(a.id)).count() as f64;
     if served < 0.5 * fits {
