--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -1,89 +1,99 @@
-//! Backends that drain, are gone, or were taken out by hand.
+//! Checks that a gateway sends nothing new to a backend that drains, was deleted or was disabled by an operator.
 
-use super::view::{AttemptSeen, View, SOCKET_SLACK, TOLERANCE};
-use super::{Found, Invariant};
+use super::view::{ObservedAttempt, View, SOCKET_SLACK, TOLERANCE};
+use super::{Invariant, Violation};
 use crate::trace::{BackendState, Entry, Event, GatewayIndex, Moment};
 use std::time::Duration;
 
-/// What discovery had counts as told when it could be reached for so long.
-const TOLD_AT_THE_LATEST: Duration = Duration::from_secs(6);
+/// A published state counts as known to a gateway whose discovery agent has been available for this long since.
+const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(6);
 
-pub fn check(view: &View<'_>, found: &mut Vec<Found>) {
+/// Reports attempts that began after the drain grace time of a backend that their gateway must not use.
+pub fn check(view: &View<'_>, found: &mut Vec<Violation>) {
     let grace = Duration::from_millis(view.scenario.settings.drain_grace_ms) + SOCKET_SLACK + TOLERANCE;
     let timelines: Vec<_> = (0..view.scenario.gateways)
         .map(|gateway| {
-            (0..view.scenario.backends).map(|backend| Timeline::of(view, gateway, backend)).collect()
+            (0..view.scenario.backends).map(|backend| Timeline::new(view, gateway, backend)).collect()
         })
         .collect::<Vec<Vec<_>>>();
     for attempt in &view.attempts {
         let timeline = &timelines[attempt.gateway][attempt.backend];
         if let Some(since) = timeline.unwanted_since(attempt.first_byte, view.scenario.settings.pushed) {
-            report(attempt, since, grace, Invariant::Drain, "was told that it drains or is gone", found);
+            check_send(attempt, since, grace, Invariant::Drain, "had learnt that the backend drains or was deleted", found);
         }
-        if let Some(since) = timeline.banned_since(attempt.first_byte) {
-            report(attempt, since, grace, Invariant::Ban, "had taken it out by hand", found);
+        if let Some(since) = timeline.disabled_since(attempt.first_byte) {
+            check_send(attempt, since, grace, Invariant::Ban, "was told by an operator to disable the backend", found);
         }
     }
 }
 
-fn report(
-    attempt: &AttemptSeen,
+/// Reports an attempt whose first byte came more than `grace` after `since`.
+fn check_send(
+    attempt: &ObservedAttempt,
     since: Moment,
     grace: Duration,
     invariant: Invariant,
     why: &str,
-    found: &mut Vec<Found>,
+    found: &mut Vec<Violation>,
 ) {
     let gap = attempt.first_byte.saturating_sub(since);
     if gap > grace {
         let what =
             format!("gateway {} sent to backend {} {gap:?} after it {why}", attempt.gateway, attempt.backend);
-        found.push(Found::of_request(invariant, attempt.first_byte, attempt.id, what));
+        found.push(Violation::for_request(invariant, attempt.first_byte, attempt.id, what));
     }
 }
 
-/// What one gateway was told of one backend.
+/// What one gateway was told about one backend, in order of time.
 struct Timeline {
-    /// States as written to it, and as known to discovery.
-    told: Vec<(Moment, BackendState)>,
+    /// States that discovery wrote to the gateway.
+    delivered: Vec<(Moment, BackendState)>,
+    /// States that the registry published.
     published: Vec<(Moment, BackendState)>,
-    /// When its discovery could be reached, or no longer.
-    well: Vec<(Moment, bool)>,
-    /// Processes of the gateway.
+    /// When its discovery agent became available (`true`) or unavailable.
+    availability: Vec<(Moment, bool)>,
+    /// Starts of the gateway's processes.
     starts: Vec<Moment>,
-    bans: Vec<(Moment, bool)>,
+    /// When an operator disabled (`true`) or enabled the backend.
+    disabled_changes: Vec<(Moment, bool)>,
 }
 
 impl Timeline {
-    fn of(view: &View<'_>, gateway: GatewayIndex, backend: usize) -> Self {
-        let mut timeline =
-            Timeline { told: vec![], published: vec![], well: vec![], starts: vec![], bans: vec![] };
+    fn new(view: &View<'_>, gateway: GatewayIndex, backend: usize) -> Self {
+        let mut timeline = Timeline {
+            delivered: vec![],
+            published: vec![],
+            availability: vec![],
+            starts: vec![],
+            disabled_changes: vec![],
+        };
         for Entry { at, event } in view.entries {
             match event {
                 Event::StateDelivered { gateway: g, backend: b, state } if (*g, *b) == (gateway, backend) => {
-                    timeline.told.push((*at, *state))
+                    timeline.delivered.push((*at, *state))
                 }
                 Event::StatePublished { backend: b, state } if *b == backend => {
                     timeline.published.push((*at, *state))
                 }
-                Event::DiscoveryAvailability { gateway: g, available: well } if *g == gateway => {
-                    timeline.well.push((*at, *well))
+                Event::DiscoveryAvailability { gateway: g, available } if *g == gateway => {
+                    timeline.availability.push((*at, *available))
                 }
                 Event::ProcessStarted { gateway: g, .. } if *g == gateway => timeline.starts.push(*at),
-                Event::BackendDisabled { gateway: g, backend: b, disabled: out }
+                Event::BackendDisabled { gateway: g, backend: b, disabled }
                     if (*g, *b) == (gateway, backend) =>
                 {
-                    timeline.bans.push((*at, *out))
+                    timeline.disabled_changes.push((*at, *disabled))
                 }
                 _ => {}
             }
         }
-        timeline.end_bans_with_the_last_process(view, gateway);
+        timeline.enable_after_last_exit(view, gateway);
         timeline
     }
 
-    /// A gateway restarts from nothing: a ban goes on over an upgrade, and ends where no process is left to know it.
-    fn end_bans_with_the_last_process(&mut self, view: &View<'_>, gateway: GatewayIndex) {
+    /// Records the backend as enabled when the gateway's last running process exits. A process hands the disabled
+    /// backends over to its successor in an upgrade, but a process that starts without a predecessor knows of none.
+    fn enable_after_last_exit(&mut self, view: &View<'_>, gateway: GatewayIndex) {
         let mut running = 0;
         for Entry { at, event } in view.entries {
             match event {
@@ -91,64 +101,76 @@
                 Event::ProcessExited { gateway: g, .. } if *g == gateway => {
                     running -= 1;
                     if running == 0 {
-                        self.bans.push((*at, false));
+                        self.disabled_changes.push((*at, false));
                     }
                 }
                 _ => {}
             }
         }
-        self.bans.sort_by_key(|(at, _)| *at);
+        self.disabled_changes.sort_by_key(|(at, _)| *at);
     }
 
-    /// Since when it has counted as told that nothing new is wanted; `None` where it has not.
+    /// The time from which the gateway must know, at `at`, that the backend takes nothing new; `None` if it need not
+    /// know. `pushed`: discovery pushes its lists.
     fn unwanted_since(&self, at: Moment, pushed: bool) -> Option<Moment> {
         let last_start = self.starts.iter().rev().find(|start| **start <= at).copied().unwrap_or_default();
-        let written = unwanted_run(&self.told, at).filter(|since| pushed || *since >= last_start);
-        let published = unwanted_run(&self.published, at).and_then(|since| self.reached_for(since, at));
-        let since = match (written, published) {
+        let delivered_since =
+            not_serving_since(&self.delivered, at).filter(|since| pushed || *since >= last_start);
+        let published_since =
+            not_serving_since(&self.published, at).and_then(|since| self.propagated_at(since, at));
+        let since = match (delivered_since, published_since) {
             (Some(a), Some(b)) => a.min(b),
             (a, b) => a.or(b)?,
         };
-        // Danger: a backend that discovery knows to serve again may be used on word of it.
-        unwanted_run(&self.published, at)?;
-        // A new process is told by its agent from its first moment on, if that speaks.
+        // Once the registry has published that the backend serves again, the gateway may have received that before
+        // the delivery was recorded.
+        not_serving_since(&self.published, at)?;
+        // A new process gets the list from its agent as it starts, if the agent is available then; otherwise it gets
+        // the list once the agent is available again.
         let since = since.max(last_start);
-        match self.well.iter().rev().find(|(t, _)| *t <= at) {
+        match self.availability.iter().rev().find(|(t, _)| *t <= at) {
             Some((_, false)) if last_start >= since => None,
-            Some((back, true)) if last_start >= since => Some(since.max(*back)),
+            Some((available_again, true)) if last_start >= since => Some(since.max(*available_again)),
             _ => Some(since),
         }
     }
 
-    /// The moment at which discovery had been reachable for the longest time that word may take.
-    fn reached_for(&self, since: Moment, until: Moment) -> Option<Moment> {
-        let (mut reached, mut from, mut well) = (Duration::ZERO, since, true);
-        for (at, now_well) in self.well.iter().filter(|(at, _)| *at <= until) {
+    /// The time at which discovery had been available for `MAX_PROPAGATION_TIME` without a break after `since`;
+    /// `None` if that was not reached before `until`.
+    fn propagated_at(&self, since: Moment, until: Moment) -> Option<Moment> {
+        let (mut reached, mut from, mut available) = (Duration::ZERO, since, true);
+        for (at, now_available) in self.availability.iter().filter(|(at, _)| *at <= until) {
             if *at <= since {
-                well = *now_well;
+                available = *now_available;
                 continue;
             }
-            if well {
+            if available {
                 reached += *at - from;
-                if reached >= TOLD_AT_THE_LATEST {
-                    return Some(*at - (reached - TOLD_AT_THE_LATEST));
+                if reached >= MAX_PROPAGATION_TIME {
+                    return Some(*at - (reached - MAX_PROPAGATION_TIME));
                 }
             } else {
                 reached = Duration::ZERO;
             }
-            (from, well) = (*at, *now_well);
+            (from, available) = (*at, *now_available);
         }
-        let last = if well { reached + until.saturating_sub(from) } else { Duration::ZERO };
-        (last >= TOLD_AT_THE_LATEST).then(|| until - (last - TOLD_AT_THE_LATEST))
+        let last = if available { reached + until.saturating_sub(from) } else { Duration::ZERO };
+        (last >= MAX_PROPAGATION_TIME).then(|| until - (last - MAX_PROPAGATION_TIME))
     }
 
-    fn banned_since(&self, at: Moment) -> Option<Moment> {
-        self.bans.iter().rev().find(|(t, _)| *t <= at).filter(|(_, out)| *out).map(|(t, _)| *t)
+    /// The time at which an operator disabled the backend, if it is still disabled at `at`.
+    fn disabled_since(&self, at: Moment) -> Option<Moment> {
+        self.disabled_changes
+            .iter()
+            .rev()
+            .find(|(t, _)| *t <= at)
+            .filter(|(_, disabled)| *disabled)
+            .map(|(t, _)| *t)
     }
 }
 
-/// The beginning of the run of states other than serving that is in force then.
-fn unwanted_run(states: &[(Moment, BackendState)], at: Moment) -> Option<Moment> {
+/// The time from which a backend has been in states other than serving; `None` if it serves at `at`.
+fn not_serving_since(states: &[(Moment, BackendState)], at: Moment) -> Option<Moment> {
     let before: Vec<_> = states.iter().filter(|(t, _)| *t <= at).collect();
     let run = before.iter().rev().take_while(|(_, state)| *state != BackendState::Serving);
     run.last().map(|(t, _)| *t)
--- a/soak/src/oracle/mod.rs
+++ b/soak/src/oracle/mod.rs
@@ -1,4 +1,5 @@
-//! Judges a run by what was seen from outside. It shares no code with the gateway.
+//! The oracle: checks the invariants of a run against its record, which holds only what was observed from outside.
+//! It shares no code with the gateway.
 
 mod drains;
 mod health;
@@ -12,108 +13,108 @@
 use std::time::Duration;
 use view::View;
 
-/// Troubles this close to a break are named with it.
-const NEAR: Duration = Duration::from_millis(400);
-/// Breaks of one invariant that are told.
-const MAX_TOLD: usize = 5;
+/// A break's report names the troubles that were active at that time or had ended at most this long before.
+const TROUBLE_END_SLACK: Duration = Duration::from_millis(400);
+/// The number of requests that the report lists for one invariant.
+const MAX_LISTED_REQUESTS: usize = 5;
 
-/// What a run must keep to.
+/// The properties that every run must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Invariant {
-    /// Each request that was taken gets one final answer in time.
+    /// Each request that a gateway has read gets one final answer in time.
     FinalAnswer,
-    /// A good answer is that of a backend for this request, and whole.
+    /// An answer with status 200 is complete and is that of a backend for this request.
     TrueAnswer,
-    /// Nothing goes again beyond its class.
+    /// No request is repeated beyond what its class allows.
     NoRepeat,
-    /// No more attempts than allowed, and as many at once.
+    /// No request has more attempts, or more attempts at a time, than allowed.
     AttemptLimit,
-    /// No attempt begins after its client has left.
+    /// No attempt begins after its client has closed its connection.
     ClientLeft,
-    /// Backends are told no more time than clients have.
+    /// Backends are told no more time than is left until the client's deadline.
     DeadlineTold,
-    /// Nothing new to a backend that drains or is gone.
+    /// No new request goes to a backend that drains or was deleted.
     Drain,
-    /// Nothing new to a backend that an operator has taken out.
+    /// No new request goes to a backend that an operator has disabled.
     Ban,
-    /// Backends that start cold are not pushed over.
+    /// Backends that start cold are not overloaded.
     SlowStart,
-    /// Quotas hold for the fleet.
+    /// Customers get no more than their quotas over the whole fleet.
     Quota,
-    /// No process ends by itself, and each is ready in time.
+    /// No process ends without being told to, and each is ready in time.
     Process,
-    /// No gateway serves nobody.
+    /// Each gateway answers its operators and serves requests at the end.
     Serves,
-    /// What is held does not grow.
+    /// Descriptors, memory and tasks of a process do not grow without bound.
     Growth,
-    /// All is well again some time after the last trouble.
+    /// The fleet serves the requests within their quotas again some time after the last trouble.
     Recovery,
-    /// The gateway's own guards refused nothing, and nothing panicked.
+    /// The gateways' runtime invariant checks found no violation, and nothing panicked.
     Guard,
-    /// Peers that send no proper request get an error or a close.
+    /// Peers that send no proper request get an error or have their connection closed in time.
     BadPeer,
 }
 
-/// An invariant that did not hold.
+/// An invariant that did not hold, with all its violations in one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Break {
-    /// Which.
+    /// The invariant.
     pub invariant: Invariant,
-    /// When, in milliseconds from the start of the run.
+    /// When it was first violated, in milliseconds from the start of the run.
     pub at_ms: u64,
-    /// What was seen.
+    /// What was observed at the first violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// The requests that it was seen with.
+    /// The first requests concerned, by their ids in hexadecimal.
     pub requests: Vec<String>,
-    /// Troubles at that time.
+    /// The kinds of trouble around the first violation.
     pub troubles: Vec<String>,
-    /// How often this invariant broke.
+    /// The number of violations.
     #[serde(rename = "times")]
     pub occurrences: usize,
 }
 
-/// One break as an invariant's check finds it.
-pub struct Found {
+/// A single violation of an invariant, as its check finds it.
+pub struct Violation {
     invariant: Invariant,
     at: Moment,
-    what: String,
+    description: String,
     request: Option<u64>,
 }
 
-impl Found {
-    fn new(invariant: Invariant, at: Moment, what: String) -> Self {
-        Found { invariant, at, what, request: None }
+impl Violation {
+    fn new(invariant: Invariant, at: Moment, description: String) -> Self {
+        Violation { invariant, at, description, request: None }
     }
 
-    fn of_request(invariant: Invariant, at: Moment, request: u64, what: String) -> Self {
-        Found { invariant, at, what, request: Some(request) }
+    fn for_request(invariant: Invariant, at: Moment, request: u64, description: String) -> Self {
+        Violation { invariant, at, description, request: Some(request) }
     }
 }
 
-/// All that did not hold, a line for each invariant.
+/// Returns the invariants that did not hold, one `Break` for each. `entries` is the run's record in order of time.
 pub fn find_breaks(entries: &[Entry], scenario: &Scenario) -> Vec<Break> {
-    let view = View::of(entries, scenario);
+    let view = View::new(entries, scenario);
     let mut found = Vec::new();
     requests::check(&view, &mut found);
     drains::check(&view, &mut found);
     limits::check(&view, &mut found);
     health::check(&view, &mut found);
-    found.sort_by_key(|f| (f.invariant, f.at));
+    found.sort_by_key(|violation| (violation.invariant, violation.at));
     let mut breaks: Vec<Break> = Vec::new();
-    for f in found {
-        let request = f.request.map(|id| format!("{id:016x}"));
-        match breaks.last_mut().filter(|b| b.invariant == f.invariant) {
+    for violation in found {
+        let request = violation.request.map(|id| format!("{id:016x}"));
+        match breaks.last_mut().filter(|b| b.invariant == violation.invariant) {
             Some(last) => {
                 last.occurrences += 1;
-                last.requests.extend(request.filter(|_| last.occurrences <= MAX_TOLD));
+                last.requests.extend(request.filter(|_| last.occurrences <= MAX_LISTED_REQUESTS));
             }
             None => breaks.push(Break {
-                invariant: f.invariant,
-                at_ms: f.at.as_millis() as u64,
-                troubles: troubles_at(entries, scenario, f.at),
-                description: f.what,
+                invariant: violation.invariant,
+                at_ms: violation.at.as_millis() as u64,
+                troubles: active_troubles(entries, scenario, violation.at),
+                description: violation.description,
                 requests: request.into_iter().collect(),
                 occurrences: 1,
             }),
@@ -122,18 +123,21 @@
     breaks
 }
 
-/// The part of the requests inside their quotas that is served at the end; `None` where the run did not get there.
+/// Returns the share, from 0 to 1, of the requests within their quotas that was served during the measurement at the
+/// end; `None` if the run did not get there.
 pub fn recovered_share(entries: &[Entry], scenario: &Scenario) -> Option<f64> {
-    health::recovered(&View::of(entries, scenario))
+    health::recovered_share(&View::new(entries, scenario))
 }
 
-fn troubles_at(entries: &[Entry], scenario: &Scenario, at: Moment) -> Vec<String> {
-    let edge = |wanted: &dyn Fn(&Event) -> bool| entries.iter().find(|e| wanted(&e.event)).map(|e| e.at);
-    let there = |place: &usize| {
-        let began = edge(&|e| matches!(e, Event::TroubleBegan(n) if n == place));
-        let ended = edge(&|e| matches!(e, Event::TroubleEnded(n) if n == place));
-        began.is_some_and(|b| b <= at) && ended.is_none_or(|e| e + NEAR >= at)
+/// Returns the kinds of the troubles that were active at `at` or had ended shortly before.
+fn active_troubles(entries: &[Entry], scenario: &Scenario, at: Moment) -> Vec<String> {
+    let first_time =
+        |wanted: &dyn Fn(&Event) -> bool| entries.iter().find(|e| wanted(&e.event)).map(|e| e.at);
+    let active = |index: &usize| {
+        let began = first_time(&|e| matches!(e, Event::TroubleBegan(n) if n == index));
+        let ended = first_time(&|e| matches!(e, Event::TroubleEnded(n) if n == index));
+        began.is_some_and(|b| b <= at) && ended.is_none_or(|e| e + TROUBLE_END_SLACK >= at)
     };
-    let there = (0..scenario.troubles.len()).filter(there);
-    there.map(|place| scenario.troubles[place].kind.name()).collect()
+    let active = (0..scenario.troubles.len()).filter(active);
+    active.map(|index| scenario.troubles[index].kind.name()).collect()
 }
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -1,44 +1,48 @@
-//! Requests: final answers, repeats, departures, deadlines.
+//! Checks of single requests: final answers, repeats, attempts after the client has left, and deadlines.
 
-use super::view::{AttemptSeen, View, SOCKET_SLACK, TOLERANCE};
-use super::{Found, Invariant};
+use super::view::{ObservedAttempt, View, SOCKET_SLACK, TOLERANCE};
+use super::{Invariant, Violation};
 use crate::trace::{AttemptOutcome, ClientOutcome, Effect, Event, Moment, RequestId, SentRequest};
 use crate::trouble::TroubleKind;
 use std::time::Duration;
 
-/// An answer may come so long after its request's time; later, it is lost.
-const LATE: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has left.
-const DEPARTURE: Duration = Duration::from_millis(100);
-/// The time told to a backend may be so much more than is left.
-const TOLD_SLACK: Duration = Duration::from_millis(150);
-/// A backend sees the end of an attempt that was given up within this.
-const GIVING_UP: Duration = Duration::from_millis(50);
-/// Peers that send no proper request are owed an end by then.
-const BAD_PEER: Duration = Duration::from_secs(3);
+/// The longest time between a client's timeout and its answer; an answer that comes later counts as missing.
+const MAX_ANSWER_DELAY: Duration = Duration::from_millis(500);
+/// The longest time between a client's departure and the start of an attempt for it.
+const MAX_START_AFTER_CLIENT_LEFT: Duration = Duration::from_millis(100);
+/// How far the time left that a backend is told may exceed the time that the client still waits.
+const STATED_TIME_SLACK: Duration = Duration::from_millis(150);
+/// The longest time until a backend sees that the gateway has cancelled an attempt.
+const CANCEL_DELAY: Duration = Duration::from_millis(50);
+/// The time within which a gateway must answer or close the connection of a peer that sends no proper request.
+const BAD_PEER_TIMEOUT: Duration = Duration::from_secs(3);
 
-pub fn check(view: &View<'_>, found: &mut Vec<Found>) {
+/// Checks every request, its attempts, and the events of peers that send no proper request.
+pub fn check(view: &View<'_>, found: &mut Vec<Violation>) {
     for (id, (sent, request)) in &view.sent {
         check_final_answer(view, *id, *sent, request, found);
     }
-    for places in view.by_request.values() {
-        let attempts: Vec<&AttemptSeen> = places.iter().map(|place| &view.attempts[*place]).collect();
+    for indices in view.attempts_by_request.values() {
+        let attempts: Vec<&ObservedAttempt> = indices.iter().map(|index| &view.attempts[*index]).collect();
         check_attempts(view, &attempts, found);
     }
     for entry in view.entries {
         match &entry.event {
             Event::AttemptWithoutId { backend } => {
-                let what = format!("backend {backend} got a request without an id");
-                found.push(Found::new(Invariant::TrueAnswer, entry.at, what));
+                let description = format!("backend {backend} got a request without an id");
+                found.push(Violation::new(Invariant::TrueAnswer, entry.at, description));
             }
             Event::BadPeer { gateway, ended_after } => {
-                let most =
-                    BAD_PEER + TOLERANCE + view.paused(*gateway, entry.at.saturating_sub(BAD_PEER), entry.at);
-                let began = entry.at.saturating_sub(ended_after.unwrap_or(BAD_PEER));
-                let gone = view.killed(*gateway, began, entry.at);
-                if !gone && ended_after.is_none_or(|after| after > most) {
-                    let what = format!("gateway {gateway} ended a bad peer after {ended_after:?}");
-                    found.push(Found::new(Invariant::BadPeer, entry.at, what));
+                let limit = BAD_PEER_TIMEOUT
+                    + TOLERANCE
+                    + view.longest_pause(*gateway, entry.at.saturating_sub(BAD_PEER_TIMEOUT), entry.at);
+                let began = entry.at.saturating_sub(ended_after.unwrap_or(BAD_PEER_TIMEOUT));
+                let killed = view.was_killed(*gateway, began, entry.at);
+                if !killed && ended_after.is_none_or(|after| after > limit) {
+                    let description = format!(
+                        "gateway {gateway} answered or closed a bad peer's connection after {ended_after:?}"
+                    );
+                    found.push(Violation::new(Invariant::BadPeer, entry.at, description));
                 }
             }
             _ => {}
@@ -46,126 +50,160 @@
     }
 }
 
+/// Checks that a client got a complete answer of its own in time, unless its gateway was killed in between.
 fn check_final_answer(
     view: &View<'_>,
     id: RequestId,
     sent: Moment,
     request: &SentRequest,
-    found: &mut Vec<Found>,
+    found: &mut Vec<Violation>,
 ) {
-    let attempts = view.by_request.get(&id).map_or(0, Vec::len);
-    let mut lost = |invariant, at, what: &str| {
-        let what = format!("gateway {}, {:?}, {attempts} attempts: {what}", request.gateway, request.effect);
-        found.push(Found::of_request(invariant, at, id, what));
+    let attempts = view.attempts_by_request.get(&id).map_or(0, Vec::len);
+    let mut report = |invariant, at, description: &str| {
+        let description =
+            format!("gateway {}, {:?}, {attempts} attempts: {description}", request.gateway, request.effect);
+        found.push(Violation::for_request(invariant, at, id, description));
     };
     let Some((at, end)) = view.ended.get(&id) else {
-        return lost(Invariant::FinalAnswer, sent, "its client saw no end of it");
+        return report(Invariant::FinalAnswer, sent, "its client recorded no outcome");
     };
-    if view.killed(request.gateway, sent, *at) {
+    if view.was_killed(request.gateway, sent, *at) {
         return;
     }
-    let due = sent + request.timeout + LATE + TOLERANCE + view.paused(request.gateway, sent, *at);
+    let due = sent
+        + request.timeout
+        + MAX_ANSWER_DELAY
+        + TOLERANCE
+        + view.longest_pause(request.gateway, sent, *at);
     match end {
         ClientOutcome::Answered { status: 200, body_fits: false } => {
-            lost(Invariant::TrueAnswer, *at, "the answer is not that of a backend for it")
+            report(Invariant::TrueAnswer, *at, "the body is not that of a backend for this request")
         }
         ClientOutcome::Answered { .. } if *at > due && !request.long_answer => {
             let late = at.saturating_sub(sent + request.timeout);
-            lost(Invariant::FinalAnswer, *at, &format!("answered {late:?} after its time"))
+            report(Invariant::FinalAnswer, *at, &format!("answered {late:?} after the client's timeout"))
         }
         ClientOutcome::Answered { .. } | ClientOutcome::Left => {}
         ClientOutcome::NoAnswer => {
-            lost(Invariant::FinalAnswer, *at, "no answer, and the connection stayed open")
-        }
-        ClientOutcome::Closed => {
-            lost(Invariant::FinalAnswer, *at, "read, and the connection closed with no answer")
-        }
-        ClientOutcome::Unread if attempts > 0 => {
-            lost(Invariant::FinalAnswer, *at, "sent on, and the connection reset with no answer")
+            report(Invariant::FinalAnswer, *at, "no answer, and the connection stayed open")
         }
+        ClientOutcome::Closed => report(
+            Invariant::FinalAnswer,
+            *at,
+            "the request was read and the connection closed without an answer",
+        ),
+        ClientOutcome::Unread if attempts > 0 => report(
+            Invariant::FinalAnswer,
+            *at,
+            "the request was forwarded and the connection reset without an answer",
+        ),
         ClientOutcome::Unread => {}
-        ClientOutcome::Truncated if !view.has_link_trouble() && all_served(view, id) => {
-            lost(Invariant::TrueAnswer, *at, "cut off, though its backend gave all of it")
-        }
+        ClientOutcome::Truncated if !view.has_link_trouble() && all_served(view, id) => report(
+            Invariant::TrueAnswer,
+            *at,
+            "the answer was truncated although its backend wrote all of it",
+        ),
         ClientOutcome::Truncated => {}
     }
 }
 
+/// Whether the request has attempts and all of them were served.
 fn all_served(view: &View<'_>, id: RequestId) -> bool {
-    let attempts = view.by_request.get(&id);
-    let served = |place: &usize| matches!(view.attempts[*place].end, Some((_, AttemptOutcome::Served)));
+    let attempts = view.attempts_by_request.get(&id);
+    let served = |index: &usize| matches!(view.attempts[*index].end, Some((_, AttemptOutcome::Served)));
     attempts.is_some_and(|all| all.iter().all(served))
 }
 
-fn check_attempts(view: &View<'_>, attempts: &[&AttemptSeen], found: &mut Vec<Found>) {
+/// Checks all attempts of one request: their number, repeats, stated deadlines and the client's departure.
+fn check_attempts(view: &View<'_>, attempts: &[&ObservedAttempt], found: &mut Vec<Violation>) {
     let Some(first) = attempts.first() else { return };
     let settings = &view.scenario.settings;
     if attempts.len() > settings.max_attempts as usize {
-        let what = format!("{} attempts, {} are allowed", attempts.len(), settings.max_attempts);
-        found.push(Found::of_request(Invariant::AttemptLimit, first.began, first.id, what));
+        let description = format!("{} attempts, {} are allowed", attempts.len(), settings.max_attempts);
+        found.push(Violation::for_request(Invariant::AttemptLimit, first.began, first.id, description));
     }
     if let Some((sent, request)) = view.sent.get(&first.id) {
-        for (place, later) in attempts.iter().enumerate() {
-            for earlier in &attempts[..place] {
-                check_pair(view, request, earlier, later, found);
+        for (index, later) in attempts.iter().enumerate() {
+            for earlier in &attempts[..index] {
+                check_attempt_pair(view, request, earlier, later, found);
             }
         }
-        // Danger: what is written to a connection that has come up for the gateway alone gets there later.
+        // When connections are established late, the gateway can write to one that the backend's side has not
+        // established yet. The stated time left then arrives too late to be compared.
         if !view.has_any(&[TroubleKind::BackendConnectsLate]) {
             attempts.iter().for_each(|attempt| check_deadline(attempt, *sent, request, found));
         }
     }
-    if let Some(left) = view.left.get(&first.id) {
+    if let Some(left) = view.client_left_at.get(&first.id) {
         for attempt in attempts {
-            let paused = view.paused(attempt.gateway, *left, attempt.first_byte);
-            if attempt.first_byte > *left + DEPARTURE + TOLERANCE + paused {
+            let paused = view.longest_pause(attempt.gateway, *left, attempt.first_byte);
+            if attempt.first_byte > *left + MAX_START_AFTER_CLIENT_LEFT + TOLERANCE + paused {
                 let late = attempt.first_byte - *left;
-                let what = format!(
+                let description = format!(
                     "an attempt from gateway {} began {late:?} after its client left",
                     attempt.gateway
                 );
-                found.push(Found::of_request(Invariant::ClientLeft, attempt.first_byte, attempt.id, what));
+                found.push(Violation::for_request(
+                    Invariant::ClientLeft,
+                    attempt.first_byte,
+                    attempt.id,
+                    description,
+                ));
             }
         }
     }
 }
 
-fn check_pair(
+/// Checks that a later attempt was an allowed repeat of an earlier one, and that the two did not overlap unless
+/// second copies are allowed.
+fn check_attempt_pair(
     view: &View<'_>,
     request: &SentRequest,
-    earlier: &AttemptSeen,
-    later: &AttemptSeen,
-    found: &mut Vec<Found>,
+    earlier: &ObservedAttempt,
+    later: &ObservedAttempt,
+    found: &mut Vec<Violation>,
 ) {
     let ended = earlier.end.filter(|(at, _)| *at <= later.began);
     let never_ran = matches!(ended, Some((_, AttemptOutcome::Rejected)));
     let gap = later.began.saturating_sub(earlier.began);
     let window = Duration::from_millis(view.scenario.settings.key_window_ms);
-    let broken = match request.effect {
+    let forbidden = match request.effect {
         Effect::Pure => None,
-        Effect::Unsafe if !never_ran => Some("an unsafe one".to_owned()),
+        Effect::Unsafe if !never_ran => Some("unsafe request".to_owned()),
         Effect::Keyed if !never_ran && gap > window + SOCKET_SLACK + TOLERANCE / 2 => {
-            Some(format!("a keyed one, whose window is {window:?},"))
+            Some(format!("keyed request with a window of {window:?}"))
         }
         _ => None,
     };
-    if let Some(which) = broken {
+    if let Some(request_kind) = forbidden {
         let (from, to) = (earlier.backend, later.backend);
-        let what = format!("{which} began at backend {to} {gap:?} after one at {from} ({:?})", earlier.end);
-        found.push(Found::of_request(Invariant::NoRepeat, later.began, later.id, what));
+        let description = format!(
+            "{request_kind}: an attempt at backend {to} began {gap:?} after one at backend {from} ({:?})",
+            earlier.end
+        );
+        found.push(Violation::for_request(Invariant::NoRepeat, later.began, later.id, description));
     }
-    let still_out = earlier.end.is_none_or(|(at, _)| at > later.began + GIVING_UP);
-    if still_out && !view.scenario.settings.second_copies && !view.has_link_trouble() {
-        let what = format!("two attempts at once, at backends {} and {}", earlier.backend, later.backend);
-        found.push(Found::of_request(Invariant::AttemptLimit, later.began, later.id, what));
+    let still_in_flight = earlier.end.is_none_or(|(at, _)| at > later.began + CANCEL_DELAY);
+    if still_in_flight && !view.scenario.settings.second_copies && !view.has_link_trouble() {
+        let description =
+            format!("two attempts at once, at backends {} and {}", earlier.backend, later.backend);
+        found.push(Violation::for_request(Invariant::AttemptLimit, later.began, later.id, description));
     }
 }
 
-fn check_deadline(attempt: &AttemptSeen, sent: Moment, request: &SentRequest, found: &mut Vec<Found>) {
-    let left = (sent + request.timeout).saturating_sub(attempt.began);
-    let told = attempt.told.unwrap_or(Duration::MAX);
-    if told > left + TOLD_SLACK + TOLERANCE / 2 {
-        let what = format!("backend {} was told {told:?}, its client has {left:?} left", attempt.backend);
-        found.push(Found::of_request(Invariant::DeadlineTold, attempt.began, attempt.id, what));
+/// Checks that the backend was not told more time than the client still waits. An attempt that states no time counts
+/// as unlimited.
+fn check_deadline(
+    attempt: &ObservedAttempt,
+    sent: Moment,
+    request: &SentRequest,
+    found: &mut Vec<Violation>,
+) {
+    let time_left = (sent + request.timeout).saturating_sub(attempt.began);
+    let stated = attempt.stated_time_left.unwrap_or(Duration::MAX);
+    if stated > time_left + STATED_TIME_SLACK + TOLERANCE / 2 {
+        let description =
+            format!("backend {} was told {stated:?}, the client has {time_left:?} left", attempt.backend);
+        found.push(Violation::for_request(Invariant::DeadlineTold, attempt.began, attempt.id, description));
     }
 }
--- a/soak/src/trace.rs
+++ b/soak/src/trace.rs
@@ -1,147 +1,148 @@
-//! What was seen during a run, in order, on one monotonic clock. The oracle reads nothing else.
+//! The record of a run: everything that was observed, in order, on one monotonic clock. The oracle reads nothing else.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time since the run began.
+/// The time since the start of the run.
 pub type Moment = Duration;
-/// A client's request; each one has an id of its own, also when a client sends it once more.
+/// The id of one request of a client. A request that the client sends again gets a new id.
 pub type RequestId = u64;
-/// A gateway's place in the fleet.
+/// A gateway's index in the fleet.
 pub type GatewayIndex = usize;
-/// A backend's place in the list.
+/// A backend's index in the list of backends.
 pub type BackendIndex = usize;
 
-/// What may be done with a request of a class.
+/// Whether requests of a class may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Safe to repeat.
+    /// Free of side effects: may be repeated at any time.
     Pure,
-    /// May be repeated within a window.
+    /// Carries an idempotency key: may be repeated within the key's window.
     Keyed,
-    /// Runs at most once.
+    /// Has side effects: must run at most once.
     Unsafe,
 }
 
-/// What a client sends.
+/// A request as a client sent it.
 #[derive(Clone, Debug)]
 pub struct SentRequest {
-    /// Its id.
+    /// The id.
     pub id: RequestId,
-    /// The gateway it was sent to.
+    /// The gateway that it was sent to.
     pub gateway: GatewayIndex,
-    /// What may be done with it.
+    /// Whether it may be repeated.
     pub effect: Effect,
-    /// Its customer.
+    /// The customer that it belongs to.
     pub customer: u64,
-    /// How long the client waits.
+    /// How long the client waits for the answer, as stated in the request.
     pub timeout: Duration,
-    /// The answer that it asks for may go on past its time.
+    /// Asks for a long answer, which may go on after the timeout.
     pub long_answer: bool,
-    /// It asks within its quota, with usual time, and stays: such requests are to be served when all is well.
+    /// Within its customer's quota, with the usual timeout, and from a client that waits: counts for the share of
+    /// requests that must be served after the recovery time.
     pub counts_for_recovery: bool,
 }
 
 /// How a request ended for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientOutcome {
-    /// A whole answer.
+    /// A complete answer came.
     Answered {
-        /// Its status.
+        /// The HTTP status.
         status: u16,
-        /// The body is that of a backend for this request.
+        /// The body is that of a backend for this request; always true for a status other than 200.
         body_fits: bool,
     },
-    /// The connection ended within an answer.
+    /// The connection ended in the middle of the answer, or of the request's body.
     Truncated,
-    /// The connection was reset, or closed over unread bytes: the request had not been read.
+    /// The connection was reset before any answer, or closed with bytes unread: the gateway had not read the request.
     Unread,
-    /// The connection was closed after the request had been read, with no answer.
+    /// The connection was closed without an answer after the gateway had read the request.
     Closed,
-    /// Nothing came until long after the client's time.
+    /// The connection stayed open without a complete answer until long after the client's timeout.
     NoAnswer,
-    /// The client left.
+    /// The client closed the connection before the answer came.
     Left,
 }
 
 /// How a backend ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole good answer was written.
+    /// The backend wrote a complete answer with status 200.
     Served,
-    /// An error was answered.
+    /// The backend answered with an error.
     Error,
-    /// Turned away, not run.
+    /// The backend rejected the request without processing it.
     Rejected,
-    /// The backend broke it off or left it without an answer.
+    /// The backend ended the connection without a complete answer.
     Aborted,
-    /// The gateway ended the connection.
+    /// The gateway closed the connection before the answer was complete.
     Cancelled,
 }
 
-/// The state of a backend as discovery tells it.
+/// The state of a backend in discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendState {
     /// In service.
     Serving,
-    /// Wants nothing new.
+    /// Takes no new requests.
     Draining,
-    /// Gone.
+    /// No longer there.
     Deleted,
 }
 
-/// One thing seen.
+/// One observation.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The last byte of a request was written.
+    /// A client wrote the last byte of a request.
     RequestSent(SentRequest),
     /// A request ended for its client.
     RequestEnded {
         /// The request.
         id: RequestId,
-        /// How.
+        /// How it ended.
         end: ClientOutcome,
     },
-    /// A client closed its connection with a request out, or in the middle of one.
+    /// A client closed its connection while it waited for an answer, or in the middle of a request.
     ClientLeft {
         /// The request.
         id: RequestId,
     },
-    /// Somebody that sends no proper request got an error or a close, or did not.
+    /// A peer sent no proper request, and the gateway answered or closed its connection, or failed to do so.
     BadPeer {
         /// The gateway.
         gateway: GatewayIndex,
-        /// How long that took; `None`: it was not ended.
+        /// The time until the gateway answered or closed the connection; `None` if it did neither while the peer stayed.
         ended_after: Option<Duration>,
     },
-    /// The last byte of an attempt came to a backend.
+    /// A backend received the last byte of an attempt.
     AttemptBegan {
         /// The request.
         id: RequestId,
-        /// Where.
+        /// The backend.
         backend: BackendIndex,
-        /// From where.
+        /// The gateway that sent it.
         gateway: GatewayIndex,
-        /// When its first byte came.
+        /// When its first byte was received.
         first_byte: Moment,
-        /// The time that it was told to have.
+        /// The time left until the deadline as the request's header states it; `None` without that header.
         stated_time_left: Option<Duration>,
-        /// The number of the attempt, over all of the run.
+        /// The attempt's number, unique in the run.
         attempt: u64,
     },
     /// An attempt ended at its backend.
     AttemptEnded {
-        /// The number of the attempt.
+        /// The attempt's number.
         attempt: u64,
-        /// How.
+        /// How it ended.
         end: AttemptOutcome,
     },
-    /// An attempt reached a backend that names no request.
+    /// A backend received an attempt without a request id.
     AttemptWithoutId {
         /// The backend.
         backend: BackendIndex,
     },
-    /// Discovery has written to a gateway what state a backend is in.
+    /// Discovery wrote a backend's state to a gateway.
     StateDelivered {
         /// The gateway.
         gateway: GatewayIndex,
@@ -150,30 +151,30 @@
         /// Its state.
         state: BackendState,
     },
-    /// Discovery has learnt of a state, and can tell all gateways that reach it.
+    /// The registry took in a backend's new state, and tells it to all gateways that call discovery from then on.
     StatePublished {
         /// The backend.
         backend: BackendIndex,
         /// Its state.
         state: BackendState,
     },
-    /// A gateway's discovery can be reached and answers, or not.
+    /// A gateway's discovery agent became available or unavailable.
     DiscoveryAvailability {
         /// The gateway.
         gateway: GatewayIndex,
-        /// Whether it answers.
+        /// Whether it can be reached and answers as it should.
         available: bool,
     },
-    /// An operator's call to take a backend out, or back in, was answered with yes.
+    /// An operator disabled a backend at a gateway, which confirmed it, or is about to enable it again.
     BackendDisabled {
         /// The gateway.
         gateway: GatewayIndex,
         /// The backend.
         backend: BackendIndex,
-        /// Out or back in.
+        /// Whether it was disabled; otherwise it is enabled.
         disabled: bool,
     },
-    /// A backend's process has started, cold.
+    /// A backend's process started, cold.
     BackendStarted {
         /// The backend.
         backend: BackendIndex,
@@ -183,110 +184,110 @@
         /// The gateway.
         gateway: GatewayIndex,
     },
-    /// It said that it is ready, or had not when it was asked last.
+    /// A gateway's process said that it is ready, or did not become ready.
     ProcessReady {
-        /// Its process.
+        /// The process.
         pid: u32,
-        /// How long that took; `None`: it was not ready in time.
+        /// The time from the first readiness check; `None` if the process did not become ready.
         after: Option<Duration>,
     },
-    /// A process was killed; planned where it had been told to end before.
+    /// A gateway's process was sent SIGKILL.
     ProcessKilled {
         /// The gateway.
         gateway: GatewayIndex,
-        /// It had been told to end.
+        /// Whether it had been sent SIGTERM before.
         planned: bool,
     },
-    /// A process was stopped for a moment.
+    /// A gateway's processes were paused with SIGSTOP and have just been continued.
     ProcessPaused {
         /// The gateway.
         gateway: GatewayIndex,
-        /// For how long.
+        /// The length of the pause.
         duration: Duration,
     },
-    /// A process ended.
+    /// A gateway's process ended.
     ProcessExited {
         /// The gateway.
         gateway: GatewayIndex,
-        /// Its process.
+        /// The process.
         pid: u32,
-        /// How, in words.
+        /// The exit status or the signal, as text.
         exit_status: String,
-        /// It had been told to end or was killed.
+        /// Whether it had been sent SIGTERM or SIGKILL.
         expected: bool,
     },
-    /// What a process said of itself at the end.
+    /// The state of a gateway's process at the end of the run, from its metrics and from the operating system.
     FinalMetrics {
         /// The gateway.
         gateway: GatewayIndex,
-        /// Violations that its own guards have counted.
+        /// Violations that its runtime invariant checks have counted.
         violations: u64,
-        /// Descriptors that it holds.
+        /// Open descriptors.
         descriptors: usize,
-        /// Descriptors that it held once it was ready.
+        /// Descriptors that were open when the process had become ready.
         descriptors_when_ready: usize,
-        /// Memory that it holds, and held once it was ready, in kB.
+        /// Resident memory in kB: now, and when the process had become ready.
         memory_kb: (u64, u64),
-        /// Tasks alive, where it tells.
+        /// Live tasks, if its metrics have that number.
         tasks: Option<u64>,
-        /// It answers `/healthz` with 200.
+        /// Whether it answers `/ready` with 200.
         healthy: bool,
     },
-    /// A process does not answer its operators at the end.
+    /// A gateway has no process at the end, or one that does not return its metrics.
     FinalMetricsMissing {
         /// The gateway.
         gateway: GatewayIndex,
     },
-    /// A line of a log tells of a guard that refused a step, or of a panic.
+    /// A gateway's log has a line about a violated runtime check or a panic.
     LogAlarm {
-        /// The line, which names gateway and process.
+        /// The line, with the gateway and the process.
         line: String,
     },
-    /// A trouble began; its place in the scenario.
+    /// A trouble began. The number is its index in the scenario.
     TroubleBegan(usize),
-    /// A trouble was over.
+    /// A trouble ended. The number is its index in the scenario.
     TroubleEnded(usize),
-    /// The time in which nine in ten requests are to be served.
+    /// The measurement after the recovery time began.
     MeasureBegan,
-    /// Its end.
+    /// The measurement ended.
     MeasureEnded,
 }
 
-/// An event and when it was seen.
+/// An event and the time at which it was observed.
 #[derive(Clone, Debug)]
 pub struct Entry {
-    /// When.
+    /// The time of the event.
     pub at: Moment,
-    /// What.
+    /// The event.
     pub event: Event,
 }
 
-/// The record of a run.
+/// The record of a run, shared by all that observe something.
 pub struct Trace {
-    began: Instant,
+    started_at: Instant,
     entries: Mutex<Vec<Entry>>,
 }
 
 impl Default for Trace {
     fn default() -> Self {
-        Trace { began: Instant::now(), entries: Mutex::default() }
+        Trace { started_at: Instant::now(), entries: Mutex::default() }
     }
 }
 
 impl Trace {
-    /// Time since the run began.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Moment {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Takes in what has been seen just now.
+    /// Appends an event with the present time.
     pub fn record(&self, event: Event) {
         let mut entries = self.entries.lock().unwrap_or_else(PoisonError::into_inner);
-        let at = self.began.elapsed();
+        let at = self.started_at.elapsed();
         entries.push(Entry { at, event });
     }
 
-    /// All that has been seen, in order.
+    /// Returns a copy of all events so far, in order of time.
     pub fn entries(&self) -> Vec<Entry> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
