--- a/soak/shim/src/control.rs
+++ b/soak/shim/src/control.rs
@@ -1,57 +1,57 @@
-//! The page of memory through which a process is told which of its system calls are to fail.
+//! The shared memory page that tells a process which of its system calls must fail.
 //!
-//! The shim maps it for reading, the soak for writing. All fields are single words, so no lock is needed.
+//! The shim maps it for reading, the soak for writing. All fields are single atomic words, so no lock is needed.
 
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicU32};
 
-/// The environment variable that names the file with the page.
+/// The environment variable with the path of the page's file.
 pub const CONTROL_VARIABLE: &str = "SOAK_SHIM_CONTROL";
-/// The file's size in bytes.
+/// The size of the file in bytes.
 pub const CONTROL_BYTES: usize = 4096;
 
 /// A system call that can be made to fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum FaultPoint {
-    /// `accept` and `accept4`.
+    /// `accept4` on Internet sockets fails.
     Accept,
-    /// `socket`, for Internet sockets.
+    /// `socket` for Internet sockets fails.
     Socket,
-    /// `connect`, for Internet sockets.
+    /// `connect` on Internet sockets fails.
     Connect,
-    /// `recv`, for Internet sockets: fails.
+    /// `recv` on Internet sockets fails.
     Receive,
-    /// `recv`, for Internet sockets: gives a part of what has come.
+    /// `recv` on Internet sockets returns only a part of the received bytes.
     ShortReceive,
-    /// `send` and `writev`, for Internet sockets: fails.
+    /// `send` and `writev` on Internet sockets fail.
     Send,
-    /// `send` and `writev`, for Internet sockets: takes a part.
+    /// `send` and `writev` on Internet sockets take only a part of the bytes.
     ShortSend,
-    /// `epoll_wait`.
+    /// `epoll_wait` fails.
     EpollWait,
-    /// `write` to standard error.
+    /// `write` and `writev` to standard error fail.
     LogWrite,
-    /// `bind`, for Internet and Unix sockets.
+    /// `bind` on Internet and Unix sockets fails.
     Bind,
 }
 
-/// How many fault points there are.
+/// The number of fault points.
 pub const FAULT_POINTS: usize = 10;
 
-/// How often a call fails, and with which error.
+/// How often calls at one fault point fail, and with which error.
 #[repr(C)]
 pub struct Fault {
-    /// Failures in a thousand calls.
+    /// Failures per 1000 calls; 0 means that no call fails.
     pub per_mille: AtomicU32,
-    /// The error that a failed call sets.
+    /// The `errno` of a failed call; without meaning for short reads and writes.
     pub errno: AtomicI32,
 }
 
-/// What the page holds.
+/// The contents of the page. All zeros, as in a new file, mean that nothing fails.
 #[repr(C)]
 pub struct ControlPage {
-    /// Added to the wall clock, in microseconds.
+    /// The offset of the wall clock in microseconds, added to the real time.
     pub wall_clock_offset_us: AtomicI64,
-    /// One for each fault point.
+    /// The fault of each fault point, indexed by `FaultPoint`.
     pub faults: [Fault; FAULT_POINTS],
 }
--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -19,10 +19,24 @@
     for attempt in &view.attempts {
         let timeline = &timelines[attempt.gateway][attempt.backend];
         if let Some(since) = timeline.unwanted_since(attempt.first_byte, view.scenario.settings.pushed) {
-            check_send(attempt, since, grace, Invariant::Drain, "had learnt that the backend drains or was deleted", found);
+            check_send(
+                attempt,
+                since,
+                grace,
+                Invariant::Drain,
+                "had learnt that the backend drains or was deleted",
+                found,
+            );
         }
         if let Some(since) = timeline.disabled_since(attempt.first_byte) {
-            check_send(attempt, since, grace, Invariant::Ban, "was told by an operator to disable the backend", found);
+            check_send(
+                attempt,
+                since,
+                grace,
+                Invariant::Ban,
+                "was told by an operator to disable the backend",
+                found,
+            );
         }
     }
 }
--- a/soak/src/stand_in/backend.rs
+++ b/soak/src/stand_in/backend.rs
@@ -1,4 +1,5 @@
-//! Backends: a few slots of work, cold after a start, and all that can be wrong with one.
+//! The stand-in for backends: they work on a few requests at a time, are slow after a cold start, and can fail in the
+//! ways of `BackendMode`.
 
 use crate::http::{query, read_body, read_head, Buffered, Head};
 use crate::link::{Link, LinkStream};
@@ -13,60 +14,69 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// Requests that wait for a slot at the most.
+/// The number of requests waiting for a slot from which on further ones are rejected.
 const MAX_WAITING: u64 = 16;
-/// The usual length of the line of connections that have not been accepted.
+/// The usual backlog of a listener: connections that the kernel establishes before they are accepted.
 const BACKLOG: u32 = 1024;
-/// Connections that fill the shortest such line.
-const FILLERS: usize = 4;
-/// An answer is written in pieces of so many bytes.
-const PIECE: usize = 16 * 1024;
+/// Connections that are opened to fill the shortest backlog.
+const BACKLOG_FILLERS: usize = 4;
+/// The size of the pieces in which a body is written.
+const BODY_PIECE_BYTES: usize = 16 * 1024;
 
 /// What is wrong with a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendMode {
-    /// Nothing.
+    /// Nothing: it answers all requests.
     Healthy,
-    /// It takes requests and answers none.
+    /// It reads requests and answers none.
     Hangs,
-    /// It resets half of the connections under requests.
+    /// It resets half of the connections on which it gets a request.
     Resets,
     /// It answers most requests with an error.
     Errs,
-    /// It turns everything away.
+    /// It rejects all requests as not processed.
     Rejects,
 }
 
+/// The state of a backend's listeners.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Listening {
-    Open,
-    /// No process is there.
-    Down,
-    /// The line is full: connections do not come up.
-    Stuck,
+enum ListenState {
+    Accepting,
+    /// Connections are refused, as without a process.
+    Closed,
+    /// The backlog is full: new connections are not established.
+    BacklogFull,
 }
 
-/// One backend, as all gateways reach it.
+/// One backend, with an address of its own for each gateway.
 pub struct Backend {
     index: usize,
     trace: Arc<Trace>,
+    /// The number of the next attempt, shared by all backends of the run.
     attempts: Arc<AtomicU64>,
     slots: Semaphore,
+    /// Requests that wait for a slot.
     waiting: AtomicU64,
-    work: Duration,
+    /// The mean time of work on a request when warm.
+    mean_work: Duration,
+    /// The share of its capacity that the backend has at a cold start.
     cold_from: f64,
+    /// The time from a cold start to full capacity.
     warm_up: Duration,
-    started: Mutex<Option<Instant>>,
+    /// When the backend last started cold; `None` if it is warm from the beginning.
+    started_at: Mutex<Option<Instant>>,
     mode: watch::Sender<BackendMode>,
-    listening: watch::Sender<Listening>,
+    listen_state: watch::Sender<ListenState>,
+    /// The time after which an idle connection is closed.
     idle_close: watch::Sender<Duration>,
-    usual_idle_close: Duration,
+    default_idle_close: Duration,
     /// The link to each gateway.
     links: Vec<Arc<Link>>,
 }
 
 impl Backend {
-    /// A warm backend that gateways at these addresses reach; also its address for each of them.
+    /// Starts a warm backend and returns it with its address for each gateway. `ips` has the gateways' addresses, and
+    /// `attempts` is the counter from which all backends of the run number attempts. Fails if no socket can be bound.
     pub async fn start(
         index: usize,
         scenario: &Scenario,
@@ -75,103 +85,107 @@
         attempts: Arc<AtomicU64>,
     ) -> anyhow::Result<(Arc<Self>, Vec<SocketAddr>)> {
         let settings = &scenario.settings;
-        let usual_idle_close = Duration::from_millis(settings.idle_close_ms);
+        let default_idle_close = Duration::from_millis(settings.idle_close_ms);
         let backend = Arc::new(Backend {
             index,
             trace,
             attempts,
             slots: Semaphore::new(scenario.slots),
             waiting: AtomicU64::new(0),
-            work: Duration::from_secs_f64(scenario.work_ms / 1e3),
+            mean_work: Duration::from_secs_f64(scenario.work_ms / 1e3),
             cold_from: settings.cold_from,
             warm_up: Duration::from_millis(settings.warm_up_ms),
-            started: Mutex::new(None),
+            started_at: Mutex::new(None),
             mode: watch::channel(BackendMode::Healthy).0,
-            listening: watch::channel(Listening::Open).0,
-            idle_close: watch::channel(usual_idle_close).0,
-            usual_idle_close,
+            listen_state: watch::channel(ListenState::Accepting).0,
+            idle_close: watch::channel(default_idle_close).0,
+            default_idle_close,
             links: ips.iter().map(|_| Arc::default()).collect(),
         });
         let mut addresses = Vec::new();
         for (gateway, ip) in ips.iter().enumerate() {
-            let listener = listen((*ip, 0).into(), BACKLOG)?;
+            let listener = bind_listener((*ip, 0).into(), BACKLOG)?;
             addresses.push(listener.local_addr()?);
-            tokio::spawn(backend.clone().accept(gateway, listener));
+            tokio::spawn(backend.clone().accept_loop(gateway, listener));
         }
         Ok((backend, addresses))
     }
 
-    /// Whatever is wrong with it, it goes on in this way.
+    /// Sets what is wrong with the backend.
     pub fn set_mode(&self, mode: BackendMode) {
         self.mode.send_replace(mode);
     }
 
-    /// Closes connections that have been idle for so long; `None`: for as long as usual.
+    /// Sets the time after which idle connections are closed; `None` restores the usual one. A connection that is idle
+    /// already keeps its time.
     pub fn set_idle_close(&self, idle: Option<Duration>) {
-        self.idle_close.send_replace(idle.unwrap_or(self.usual_idle_close));
+        self.idle_close.send_replace(idle.unwrap_or(self.default_idle_close));
     }
 
-    /// Its process dies: connections are reset, new ones refused.
+    /// Simulates the death of the backend's process: resets all connections and refuses new ones.
     pub fn crash(&self) {
-        self.listening.send_replace(Listening::Down);
+        self.listen_state.send_replace(ListenState::Closed);
         self.links.iter().for_each(|link| link.reset());
     }
 
-    /// A new process starts, cold.
+    /// Simulates the cold start of a new process, with nothing wrong with it.
     pub fn start_cold(&self) {
-        *self.started.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
+        *self.started_at.lock().unwrap_or_else(PoisonError::into_inner) = Some(Instant::now());
         self.trace.record(Event::BackendStarted { backend: self.index });
         self.mode.send_replace(BackendMode::Healthy);
-        self.listening.send_replace(Listening::Open);
+        self.listen_state.send_replace(ListenState::Accepting);
     }
 
-    /// New connections do not come up, or do so again.
-    pub fn set_backlog_full(&self, stuck: bool) {
-        self.listening.send_if_modified(|listening| {
-            let next = match (*listening, stuck) {
-                (Listening::Open, true) => Listening::Stuck,
-                (Listening::Stuck, false) => Listening::Open,
+    /// Fills the backlog, so that new connections are not established, or empties it again. Has no effect while the
+    /// backend is down.
+    pub fn set_backlog_full(&self, full: bool) {
+        self.listen_state.send_if_modified(|listen_state| {
+            let new_state = match (*listen_state, full) {
+                (ListenState::Accepting, true) => ListenState::BacklogFull,
+                (ListenState::BacklogFull, false) => ListenState::Accepting,
                 (same, _) => same,
             };
-            std::mem::replace(listening, next) != next
+            std::mem::replace(listen_state, new_state) != new_state
         });
     }
 
-    /// Its link to a gateway.
+    /// Returns the link to a gateway.
     pub fn link(&self, gateway: usize) -> &Link {
         &self.links[gateway]
     }
 
-    fn warmth(&self) -> f64 {
-        let started = *self.started.lock().unwrap_or_else(PoisonError::into_inner);
+    /// The present share of full capacity: from `cold_from` at a cold start to 1 after `warm_up`.
+    fn capacity_share(&self) -> f64 {
+        let started_at = *self.started_at.lock().unwrap_or_else(PoisonError::into_inner);
         let warm = |at: Instant| at.elapsed().as_secs_f64() / self.warm_up.as_secs_f64();
-        started.map_or(1.0, |at| (self.cold_from + (1.0 - self.cold_from) * warm(at)).min(1.0))
+        started_at.map_or(1.0, |at| (self.cold_from + (1.0 - self.cold_from) * warm(at)).min(1.0))
     }
 
-    async fn accept(self: Arc<Self>, gateway: usize, listener: TcpListener) {
+    /// Accepts a gateway's connections and follows the listeners' state.
+    async fn accept_loop(self: Arc<Self>, gateway: usize, listener: TcpListener) {
         let Ok(address) = listener.local_addr() else { return };
-        let mut state = self.listening.subscribe();
+        let mut state = self.listen_state.subscribe();
         let mut listener = Some(listener);
         loop {
-            let now = *state.borrow_and_update();
-            match now {
-                Listening::Down => {
+            let current = *state.borrow_and_update();
+            match current {
+                ListenState::Closed => {
                     listener = None;
                     let _ = state.changed().await;
                     continue;
                 }
-                Listening::Stuck => {
+                ListenState::BacklogFull => {
                     drop(listener.take());
-                    listener = listen(address, 1).ok();
-                    let fillers = fill_line(address).await;
+                    listener = bind_listener(address, 1).ok();
+                    let fillers = fill_backlog(address).await;
                     let _ = state.changed().await;
                     drop(fillers);
                     continue;
                 }
-                Listening::Open => {}
+                ListenState::Accepting => {}
             }
-            let Some(open) = listener.as_ref() else {
-                listener = listen(address, BACKLOG).ok();
+            let Some(active) = listener.as_ref() else {
+                listener = bind_listener(address, BACKLOG).ok();
                 if listener.is_none() {
                     sleep(Duration::from_millis(20)).await;
                 }
@@ -179,15 +193,16 @@
             };
             tokio::select! {
                 _ = state.changed() => {}
-                come = open.accept() => if let Ok((stream, _)) = come {
+                accepted = active.accept() => if let Ok((stream, _)) = accepted {
                     let stream = LinkStream::new(stream, &self.links[gateway]);
-                    tokio::spawn(self.clone().converse(gateway, stream));
+                    tokio::spawn(self.clone().serve_connection(gateway, stream));
                 }
             }
         }
     }
 
-    async fn converse(self: Arc<Self>, gateway: usize, mut stream: LinkStream) {
+    /// Serves requests on a connection until it ends or has been idle for too long.
+    async fn serve_connection(self: Arc<Self>, gateway: usize, mut stream: LinkStream) {
         loop {
             let idle_close = *self.idle_close.borrow();
             if stream.buffer.is_empty() {
@@ -211,27 +226,30 @@
                 }
                 continue;
             }
-            match self.attempt(gateway, &mut stream, &head, first_byte).await {
-                Ok(Next::KeepOpen) => {}
-                Ok(Next::Close) | Err(_) => return,
-                Ok(Next::Reset) => return stream.reset(),
+            match self.handle_attempt(gateway, &mut stream, &head, first_byte).await {
+                Ok(ConnectionAction::KeepOpen) => {}
+                Ok(ConnectionAction::Close) | Err(_) => return,
+                Ok(ConnectionAction::Reset) => return stream.reset(),
             }
         }
     }
 
-    async fn attempt(
+    /// Records an attempt and its end, and answers it. Without a request id it is recorded as such
+    /// and the connection is closed.
+    async fn handle_attempt(
         &self,
         gateway: usize,
         stream: &mut LinkStream,
         head: &Head,
         first_byte: Duration,
-    ) -> io::Result<Next> {
+    ) -> io::Result<ConnectionAction> {
         let id = head.field("x-correlation-id").and_then(|v| u64::from_str_radix(v, 16).ok());
         let Some(id) = id else {
             self.trace.record(Event::AttemptWithoutId { backend: self.index });
-            return Ok(Next::Close);
+            return Ok(ConnectionAction::Close);
         };
-        let told = head.field("x-time-left-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
+        let stated_time_left =
+            head.field("x-time-left-ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
         let attempt = self.attempts.fetch_add(1, Ordering::Relaxed);
         let backend = self.index;
         self.trace.record(Event::AttemptBegan {
@@ -239,97 +257,124 @@
             backend,
             gateway,
             first_byte,
-            stated_time_left: told,
+            stated_time_left,
             attempt,
         });
-        let (end, next) = self.work_on(id, stream, head).await;
+        let (end, action) = self.process_request(id, stream, head).await;
         self.trace.record(Event::AttemptEnded { attempt, end });
-        Ok(next)
+        Ok(action)
     }
 
-    async fn work_on(&self, id: u64, stream: &mut LinkStream, head: &Head) -> (AttemptOutcome, Next) {
-        let lot = fastrand::f64();
+    /// Waits for a slot, works on a request and answers it, unless the backend's mode makes it fail. Returns how the
+    /// attempt ended and what becomes of its connection.
+    async fn process_request(
+        &self,
+        id: u64,
+        stream: &mut LinkStream,
+        head: &Head,
+    ) -> (AttemptOutcome, ConnectionAction) {
+        let draw = fastrand::f64();
         let mode = *self.mode.borrow();
         match mode {
             BackendMode::Hangs => {
                 let mut mode = self.mode.subscribe();
                 return tokio::select! {
-                    () = stream.closed() => (AttemptOutcome::Cancelled, Next::Close),
-                    _ = mode.wait_for(|mode| *mode != BackendMode::Hangs) => (AttemptOutcome::Aborted, Next::Reset),
+                    () = stream.closed() => (AttemptOutcome::Cancelled, ConnectionAction::Close),
+                    _ = mode.wait_for(|mode| *mode != BackendMode::Hangs) => (AttemptOutcome::Aborted, ConnectionAction::Reset),
                 };
             }
-            BackendMode::Resets if lot < 0.5 => {
+            BackendMode::Resets if draw < 0.5 => {
                 return tokio::select! {
-                    () = stream.closed() => (AttemptOutcome::Cancelled, Next::Close),
-                    () = sleep(self.work.mul_f64(2.0 * lot)) => (AttemptOutcome::Aborted, Next::Reset),
+                    () = stream.closed() => (AttemptOutcome::Cancelled, ConnectionAction::Close),
+                    () = sleep(self.mean_work.mul_f64(2.0 * draw)) => (AttemptOutcome::Aborted, ConnectionAction::Reset),
                 };
             }
-            BackendMode::Errs if lot < 0.7 => {
-                return self.say(stream, "500 Internal Server Error", "", AttemptOutcome::Error).await;
+            BackendMode::Errs if draw < 0.7 => {
+                return self
+                    .write_empty_answer(stream, "500 Internal Server Error", "", AttemptOutcome::Error)
+                    .await;
             }
-            BackendMode::Rejects => return self.turn_away(stream).await,
+            BackendMode::Rejects => return self.reject(stream).await,
             _ => {}
         }
         if self.waiting.load(Ordering::Relaxed) >= MAX_WAITING {
-            return self.turn_away(stream).await;
+            return self.reject(stream).await;
         }
-        let work = self.work.mul_f64(-fastrand::f64().max(1e-3).ln() / self.warmth());
-        let worked = async {
+        let work = self.mean_work.mul_f64(-fastrand::f64().max(1e-3).ln() / self.capacity_share());
+        let work_done = async {
             self.waiting.fetch_add(1, Ordering::Relaxed);
-            let waits = WaitingGuard(&self.waiting);
-            let slot = self.slots.acquire().await;
-            drop(waits);
+            let waiting_guard = WaitingGuard(&self.waiting);
+            let permit = self.slots.acquire().await;
+            drop(waiting_guard);
             sleep(work).await;
-            drop(slot);
+            drop(permit);
         };
         tokio::select! {
-            () = stream.closed() => return (AttemptOutcome::Cancelled, Next::Close),
-            () = worked => {}
+            () = stream.closed() => return (AttemptOutcome::Cancelled, ConnectionAction::Close),
+            () = work_done => {}
         }
-        self.serve(id, stream, head, lot).await
+        self.answer_request(id, stream, head, draw).await
     }
 
-    async fn turn_away(&self, stream: &mut LinkStream) -> (AttemptOutcome, Next) {
-        self.say(stream, "503 Service Unavailable", "x-unprocessed: 1\r\n", AttemptOutcome::Rejected).await
+    /// Answers that the request was not processed.
+    async fn reject(&self, stream: &mut LinkStream) -> (AttemptOutcome, ConnectionAction) {
+        self.write_empty_answer(
+            stream,
+            "503 Service Unavailable",
+            "x-unprocessed: 1\r\n",
+            AttemptOutcome::Rejected,
+        )
+        .await
     }
 
-    async fn say(
+    /// Writes an answer without a body. `status` is the status line's code and reason, `fields` are whole header lines,
+    /// and `end` is the attempt's outcome if the write succeeds.
+    async fn write_empty_answer(
         &self,
         stream: &mut LinkStream,
         status: &str,
         fields: &str,
         end: AttemptOutcome,
-    ) -> (AttemptOutcome, Next) {
+    ) -> (AttemptOutcome, ConnectionAction) {
         let answer = format!("HTTP/1.1 {status}\r\n{fields}content-length: 0\r\n\r\n");
         match stream.write_all(answer.as_bytes()).await {
-            Ok(()) => (end, Next::KeepOpen),
-            Err(_) => (AttemptOutcome::Aborted, Next::Close),
+            Ok(()) => (end, ConnectionAction::KeepOpen),
+            Err(_) => (AttemptOutcome::Aborted, ConnectionAction::Close),
         }
     }
 
-    /// Answers with the request's own id and as many bytes as it asks for, in one of three framings.
-    async fn serve(&self, id: u64, stream: &mut LinkStream, head: &Head, lot: f64) -> (AttemptOutcome, Next) {
+    /// Answers with a body that begins with the request's id and has the size that the request asks for. `draw`, from 0
+    /// to 1, selects the framing.
+    async fn answer_request(
+        &self,
+        id: u64,
+        stream: &mut LinkStream,
+        head: &Head,
+        draw: f64,
+    ) -> (AttemptOutcome, ConnectionAction) {
         let size = query(head.target(), "size").and_then(|v| v.parse::<usize>().ok()).unwrap_or(16);
         let pause = query(head.target(), "pause_ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
         let mut body = format!("{id:016x}").into_bytes();
         body.resize(size.max(16), b'x');
-        let framing = match lot {
-            lot if lot < 0.8 => Framing::Length,
-            lot if lot < 0.9 => Framing::Chunks,
-            _ => Framing::ToEnd,
+        let framing = match draw {
+            draw if draw < 0.8 => Framing::ContentLength,
+            draw if draw < 0.9 => Framing::Chunked,
+            _ => Framing::UntilClose,
         };
         let fields = match framing {
-            Framing::Length => format!("content-length: {}\r\n", body.len()),
-            Framing::Chunks => "transfer-encoding: chunked\r\n".to_owned(),
-            Framing::ToEnd => "connection: close\r\n".to_owned(),
+            Framing::ContentLength => format!("content-length: {}\r\n", body.len()),
+            Framing::Chunked => "transfer-encoding: chunked\r\n".to_owned(),
+            Framing::UntilClose => "connection: close\r\n".to_owned(),
         };
         match self.write_answer(stream, fields, &body, framing, pause).await {
-            Ok(()) if framing == Framing::ToEnd => (AttemptOutcome::Served, Next::Close),
-            Ok(()) => (AttemptOutcome::Served, Next::KeepOpen),
-            Err(_) => (AttemptOutcome::Cancelled, Next::Close),
+            Ok(()) if framing == Framing::UntilClose => (AttemptOutcome::Served, ConnectionAction::Close),
+            Ok(()) => (AttemptOutcome::Served, ConnectionAction::KeepOpen),
+            Err(_) => (AttemptOutcome::Cancelled, ConnectionAction::Close),
         }
     }
 
+    /// Writes an answer with status 200. `fields` are the header lines of its framing, and `pause` is the time between
+    /// pieces of the body.
     async fn write_answer(
         &self,
         stream: &mut LinkStream,
@@ -339,12 +384,12 @@
         pause: Option<Duration>,
     ) -> io::Result<()> {
         let mut bytes = format!("HTTP/1.1 200 OK\r\n{fields}\r\n").into_bytes();
-        for piece in body.chunks(PIECE) {
-            if framing == Framing::Chunks {
+        for piece in body.chunks(BODY_PIECE_BYTES) {
+            if framing == Framing::Chunked {
                 bytes.extend_from_slice(format!("{:x}\r\n", piece.len()).as_bytes());
             }
             bytes.extend_from_slice(piece);
-            if framing == Framing::Chunks {
+            if framing == Framing::Chunked {
                 bytes.extend_from_slice(b"\r\n");
             }
             stream.write_all(&bytes).await?;
@@ -353,13 +398,14 @@
                 sleep(pause).await;
             }
         }
-        if framing == Framing::Chunks {
+        if framing == Framing::Chunked {
             stream.write_all(b"0\r\n\r\n").await?;
         }
         Ok(())
     }
 }
 
+/// Takes a request out of the count of waiting ones when dropped.
 struct WaitingGuard<'a>(&'a AtomicU64);
 
 impl Drop for WaitingGuard<'_> {
@@ -368,30 +414,33 @@
     }
 }
 
+/// How the end of an answer's body is marked.
 #[derive(Clone, Copy, PartialEq)]
 enum Framing {
-    Length,
-    Chunks,
-    ToEnd,
+    ContentLength,
+    Chunked,
+    UntilClose,
 }
 
-enum Next {
+/// What becomes of a connection after an attempt.
+enum ConnectionAction {
     KeepOpen,
     Close,
     Reset,
 }
 
-fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
+/// Binds a listener whose address can be bound again at once.
+fn bind_listener(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(backlog)
 }
 
-/// Connections that fill a line of the shortest length.
-async fn fill_line(address: SocketAddr) -> Vec<TcpStream> {
+/// Opens connections to a listener with the shortest backlog until it is full, and returns them.
+async fn fill_backlog(address: SocketAddr) -> Vec<TcpStream> {
     let mut fillers = Vec::new();
-    for _ in 0..FILLERS {
+    for _ in 0..BACKLOG_FILLERS {
         if let Ok(Ok(filler)) = timeout(Duration::from_millis(30), TcpStream::connect(address)).await {
             fillers.push(filler);
         }
--- a/soak/src/stand_in/door.rs
+++ b/soak/src/stand_in/door.rs
@@ -1,4 +1,4 @@
-//! A listener that one gateway alone is told of, and that can refuse, or move.
+//! A stand-in's listener for one gateway, which can refuse connections or move to another address.
 
 use crate::link::{Link, LinkStream};
 use std::future::Future;
@@ -9,53 +9,55 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// After a move, connections at the old address are closed so much later.
-const OLD_ADDRESS_CLOSES: Duration = Duration::from_millis(1_500);
+/// The time after a move at which connections to the old address are closed.
+const OLD_CONNECTION_LIFETIME: Duration = Duration::from_millis(1_500);
 
 #[derive(Clone, Copy, PartialEq)]
-struct DoorState {
-    open: bool,
-    moves: u64,
+struct ListenerState {
+    accepting: bool,
+    relocations: u64,
 }
 
 /// The listener of a service for one gateway.
-pub struct Door {
+pub struct DedicatedListener {
     ip: IpAddr,
     address: Mutex<SocketAddr>,
-    state: watch::Sender<DoorState>,
+    state: watch::Sender<ListenerState>,
     link: Arc<Link>,
 }
 
-impl Door {
-    /// A door that is open; `serve` speaks on each connection that comes.
-    pub async fn open<S, F>(ip: IpAddr, serve: S) -> anyhow::Result<Arc<Self>>
+impl DedicatedListener {
+    /// Binds a free port at `ip` and accepts connections; `handler` serves each of them. Fails if no socket can be
+    /// bound.
+    pub async fn bind<S, F>(ip: IpAddr, handler: S) -> anyhow::Result<Arc<Self>>
     where
         S: Fn(LinkStream) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = ()> + Send + 'static,
     {
         let listener = TcpListener::bind((ip, 0)).await?;
         let address = Mutex::new(listener.local_addr()?);
-        let state = watch::channel(DoorState { open: true, moves: 0 }).0;
-        let door = Arc::new(Door { ip, address, state, link: Arc::default() });
-        tokio::spawn(door.clone().listen(listener, serve));
-        Ok(door)
+        let state = watch::channel(ListenerState { accepting: true, relocations: 0 }).0;
+        let dedicated = Arc::new(DedicatedListener { ip, address, state, link: Arc::default() });
+        tokio::spawn(dedicated.clone().accept_loop(listener, handler));
+        Ok(dedicated)
     }
 
-    /// Where it is.
+    /// Returns the present address.
     pub fn address(&self) -> SocketAddr {
         *self.address.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Refuses connections from now on, and resets those that are open; or takes them again.
-    pub fn set_open(&self, open: bool) {
-        self.state.send_modify(|state| state.open = open);
-        if !open {
+    /// Starts or stops accepting connections. Stopping also resets the open connections.
+    pub fn set_accepting(&self, accepting: bool) {
+        self.state.send_modify(|state| state.accepting = accepting);
+        if !accepting {
             self.link.reset();
         }
     }
 
-    /// Moves to another address.
-    pub async fn relocate<S, F>(self: &Arc<Self>, serve: S) -> anyhow::Result<SocketAddr>
+    /// Moves to another port, whose connections `handler` serves, and returns the new address. The old port is closed
+    /// at once, its connections a while later. Fails if no socket can be bound.
+    pub async fn relocate<S, F>(self: &Arc<Self>, handler: S) -> anyhow::Result<SocketAddr>
     where
         S: Fn(LinkStream) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = ()> + Send + 'static,
@@ -63,63 +65,64 @@
         let listener = TcpListener::bind((self.ip, 0)).await?;
         let address = listener.local_addr()?;
         *self.address.lock().unwrap_or_else(PoisonError::into_inner) = address;
-        self.state.send_modify(|state| state.moves += 1);
-        tokio::spawn(self.clone().listen(listener, serve));
+        self.state.send_modify(|state| state.relocations += 1);
+        tokio::spawn(self.clone().accept_loop(listener, handler));
         Ok(address)
     }
 
-    async fn listen<S, F>(self: Arc<Self>, listener: TcpListener, serve: S)
+    /// Accepts connections at one address until the listener moves away from it.
+    async fn accept_loop<S, F>(self: Arc<Self>, listener: TcpListener, handler: S)
     where
         S: Fn(LinkStream) -> F + Clone + Send + Sync + 'static,
         F: Future<Output = ()> + Send + 'static,
     {
         let Ok(address) = listener.local_addr() else { return };
         let mut state = self.state.subscribe();
-        let moves = state.borrow_and_update().moves;
+        let relocations = state.borrow_and_update().relocations;
         let mut listener = Some(listener);
         loop {
-            let now = *state.borrow_and_update();
-            if now.moves != moves {
+            let current = *state.borrow_and_update();
+            if current.relocations != relocations {
                 return;
             }
-            match (&listener, now.open) {
+            match (&listener, current.accepting) {
                 (Some(_), false) => listener = None,
                 (None, true) => listener = TcpListener::bind(address).await.ok(),
                 _ => {}
             }
-            let Some(open) = listener.as_ref() else {
+            let Some(active) = listener.as_ref() else {
                 tokio::select! {
                     _ = state.changed() => {}
-                    () = sleep(Duration::from_millis(50)), if now.open => {}
+                    () = sleep(Duration::from_millis(50)), if current.accepting => {}
                 }
                 continue;
             };
             tokio::select! {
                 _ = state.changed() => {}
-                come = open.accept() => if let Ok((stream, _)) = come {
-                    let conversation = serve(LinkStream::new(stream, &self.link));
-                    tokio::spawn(until_moved(conversation, state.clone(), moves));
+                accepted = active.accept() => if let Ok((stream, _)) = accepted {
+                    let connection = handler(LinkStream::new(stream, &self.link));
+                    tokio::spawn(run_until_relocated(connection, state.clone(), relocations));
                 }
             }
         }
     }
 }
 
-/// Speaks on a connection until it ends, or its address was left a while ago.
-async fn until_moved(
-    conversation: impl Future<Output = ()>,
-    mut state: watch::Receiver<DoorState>,
-    moves: u64,
+/// Runs a connection until it ends, or until `OLD_CONNECTION_LIFETIME` after the listener has moved.
+async fn run_until_relocated(
+    connection: impl Future<Output = ()>,
+    mut state: watch::Receiver<ListenerState>,
+    relocations: u64,
 ) {
-    let left = async move {
-        if state.wait_for(|state| state.moves != moves).await.is_ok() {
-            sleep(OLD_ADDRESS_CLOSES).await;
+    let relocated = async move {
+        if state.wait_for(|state| state.relocations != relocations).await.is_ok() {
+            sleep(OLD_CONNECTION_LIFETIME).await;
         } else {
             std::future::pending::<()>().await;
         }
     };
     tokio::select! {
-        () = conversation => {}
-        () = left => {}
+        () = connection => {}
+        () = relocated => {}
     }
 }
--- a/soak/src/stand_in/mod.rs
+++ b/soak/src/stand_in/mod.rs
@@ -1,4 +1,4 @@
-//! What stands in for backends, discovery and the counter.
+//! Stand-ins for the systems around the gateways: backends, discovery and the counter.
 
 pub mod backend;
 pub mod counter;
--- a/soak/src/trace.rs
+++ b/soak/src/trace.rs
@@ -112,7 +112,7 @@
     BadPeer {
         /// The gateway.
         gateway: GatewayIndex,
-        /// The time until the gateway answered or closed the connection; `None` if it did neither while the peer stayed.
+        /// The time until the gateway answered or closed the connection; `None` if it did neither.
         ended_after: Option<Duration>,
     },
     /// A backend received the last byte of an attempt.
