--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -41,20 +41,22 @@
     }
 }
 
-/// Reports an attempt whose first byte came more than `grace` after `since`.
+/// Reports an attempt whose first byte came more than `grace` after `since`. `reason` says what happened at `since`.
 fn check_send(
     attempt: &ObservedAttempt,
     since: Moment,
     grace: Duration,
     invariant: Invariant,
-    why: &str,
+    reason: &str,
     found: &mut Vec<Violation>,
 ) {
     let gap = attempt.first_byte.saturating_sub(since);
     if gap > grace {
-        let what =
-            format!("gateway {} sent to backend {} {gap:?} after it {why}", attempt.gateway, attempt.backend);
-        found.push(Violation::for_request(invariant, attempt.first_byte, attempt.id, what));
+        let description = format!(
+            "gateway {} sent to backend {} {gap:?} after it {reason}",
+            attempt.gateway, attempt.backend
+        );
+        found.push(Violation::for_request(invariant, attempt.first_byte, attempt.id, description));
     }
 }
 
@@ -108,13 +110,13 @@
     /// Records the backend as enabled when the gateway's last running process exits. A process hands the disabled
     /// backends over to its successor in an upgrade, but a process that starts without a predecessor knows of none.
     fn enable_after_last_exit(&mut self, view: &View<'_>, gateway: GatewayIndex) {
-        let mut running = 0;
+        let mut running_processes = 0;
         for Entry { at, event } in view.entries {
             match event {
-                Event::ProcessStarted { gateway: g, .. } if *g == gateway => running += 1,
+                Event::ProcessStarted { gateway: g, .. } if *g == gateway => running_processes += 1,
                 Event::ProcessExited { gateway: g, .. } if *g == gateway => {
-                    running -= 1;
-                    if running == 0 {
+                    running_processes -= 1;
+                    if running_processes == 0 {
                         self.disabled_changes.push((*at, false));
                     }
                 }
@@ -152,24 +154,25 @@
     /// The time at which discovery had been available for `MAX_PROPAGATION_TIME` without a break after `since`;
     /// `None` if that was not reached before `until`.
     fn propagated_at(&self, since: Moment, until: Moment) -> Option<Moment> {
-        let (mut reached, mut from, mut available) = (Duration::ZERO, since, true);
+        let (mut available_for, mut from, mut available) = (Duration::ZERO, since, true);
         for (at, now_available) in self.availability.iter().filter(|(at, _)| *at <= until) {
             if *at <= since {
                 available = *now_available;
                 continue;
             }
             if available {
-                reached += *at - from;
-                if reached >= MAX_PROPAGATION_TIME {
-                    return Some(*at - (reached - MAX_PROPAGATION_TIME));
+                available_for += *at - from;
+                if available_for >= MAX_PROPAGATION_TIME {
+                    return Some(*at - (available_for - MAX_PROPAGATION_TIME));
                 }
             } else {
-                reached = Duration::ZERO;
+                available_for = Duration::ZERO;
             }
             (from, available) = (*at, *now_available);
         }
-        let last = if available { reached + until.saturating_sub(from) } else { Duration::ZERO };
-        (last >= MAX_PROPAGATION_TIME).then(|| until - (last - MAX_PROPAGATION_TIME))
+        let uninterrupted =
+            if available { available_for + until.saturating_sub(from) } else { Duration::ZERO };
+        (uninterrupted >= MAX_PROPAGATION_TIME).then(|| until - (uninterrupted - MAX_PROPAGATION_TIME))
     }
 
     /// The time at which an operator disabled the backend, if it is still disabled at `at`.
--- a/soak/src/stand_in/backend.rs
+++ b/soak/src/stand_in/backend.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{watch, Semaphore};
 use tokio::time::{sleep, timeout};
 
-/// The number of requests waiting for a slot from which on further ones are rejected.
+/// The number of requests that may wait for a slot; further ones are rejected.
 const MAX_WAITING: u64 = 16;
 /// The usual backlog of a listener: connections that the kernel establishes before they are accepted.
 const BACKLOG: u32 = 1024;
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Records an attempt and its end, and answers it. Without a request id it is recorded as such
-    /// and the connection is closed.
+    /// Records an attempt and its end, and answers it. An attempt without a request id is recorded as such, and its
+    /// connection is closed.
     async fn handle_attempt(
         &self,
         gateway: usize,
--- a/soak/src/stand_in/door.rs
+++ b/soak/src/stand_in/door.rs
@@ -14,11 +14,13 @@
 
 #[derive(Clone, Copy, PartialEq)]
 struct ListenerState {
+    /// Whether connections are accepted; otherwise they are refused.
     accepting: bool,
+    /// The number of moves to another address so far.
     relocations: u64,
 }
 
-/// The listener of a service for one gateway.
+/// The listener of a stand-in for one gateway.
 pub struct DedicatedListener {
     ip: IpAddr,
     address: Mutex<SocketAddr>,
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle on records that are written by hand: a sound one holds, and each broken promise is found.
+//! Tests of the oracle on handwritten records: a sound record breaks no invariant, and each kind of violation is found.
 
 use gateway_soak::oracle::{find_breaks, Invariant};
 use gateway_soak::scenario::{Choice, Scenario, GREEDY_CUSTOMER};
@@ -7,13 +7,14 @@
 };
 use std::time::Duration;
 
+/// A complete answer with status 200 and the right body.
 const SERVED: ClientOutcome = ClientOutcome::Answered { status: 200, body_fits: true };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A run without troubles, with settings that the records below are written for.
+/// A run without troubles, with the settings that the records below assume.
 fn scenario() -> Scenario {
     let mut scenario = Scenario::draw(1, &Choice::default()).with_troubles(&[]);
     scenario.settings.second_copies = false;
@@ -24,21 +25,23 @@
     scenario
 }
 
+/// An event at a time in milliseconds from the start of the run.
 fn at(ms_from_start: u64, event: Event) -> Entry {
     Entry { at: ms(ms_from_start), event }
 }
 
+/// A request to gateway 0 whose client waits for 1 s.
 fn sent(id: u64, effect: Effect) -> Event {
-    let (wait, customer) = (ms(1_000), 100);
-    let (long_answer, usual) = (false, true);
+    let (timeout, customer) = (ms(1_000), 100);
+    let (long_answer, counts_for_recovery) = (false, true);
     Event::RequestSent(SentRequest {
         id,
         gateway: 0,
         effect,
         customer,
-        timeout: wait,
+        timeout,
         long_answer,
-        counts_for_recovery: usual,
+        counts_for_recovery,
     })
 }
 
@@ -46,26 +49,28 @@
     Event::RequestEnded { id, end }
 }
 
-fn began(id: u64, attempt: u64, backend: usize, first_byte: Moment, told: Duration) -> Event {
-    Event::AttemptBegan { id, backend, gateway: 0, first_byte, stated_time_left: Some(told), attempt }
+fn began(id: u64, attempt: u64, backend: usize, first_byte: Moment, time_left: Duration) -> Event {
+    Event::AttemptBegan { id, backend, gateway: 0, first_byte, stated_time_left: Some(time_left), attempt }
 }
 
+/// The start and end of an attempt from gateway 0, in milliseconds. The stated time left fits a request sent at 0.
 fn attempt(id: u64, number: u64, backend: usize, from: u64, to: u64, end: AttemptOutcome) -> [Entry; 2] {
-    let told = ms(1_000_u64.saturating_sub(from));
+    let time_left = ms(1_000_u64.saturating_sub(from));
     [
-        at(from, began(id, number, backend, ms(from), told)),
+        at(from, began(id, number, backend, ms(from), time_left)),
         at(to, Event::AttemptEnded { attempt: number, end }),
     ]
 }
 
-/// A request that is sent at 0 ms, with what is seen of it.
+/// The record of a request with id 1 that is sent at 0 ms, has these attempts and ends at `answered` ms.
 fn request(effect: Effect, attempts: &[[Entry; 2]], answered: u64, end: ClientOutcome) -> Vec<Entry> {
     let mut entries = vec![at(0, sent(1, effect)), at(answered, ended(1, end))];
     entries.extend(attempts.iter().flatten().cloned());
     entries
 }
 
-fn broken(mut entries: Vec<Entry>) -> Vec<Invariant> {
+/// Returns the invariants that the oracle finds broken, in their order of declaration.
+fn broken_invariants(mut entries: Vec<Entry>) -> Vec<Invariant> {
     entries.sort_by_key(|entry| entry.at);
     find_breaks(&entries, &scenario()).into_iter().map(|b| b.invariant).collect()
 }
@@ -73,36 +78,36 @@
 #[test]
 fn a_sound_record_holds() {
     let served = attempt(1, 1, 0, 5, 50, AttemptOutcome::Served);
-    assert_eq!(broken(request(Effect::Unsafe, &[served], 55, SERVED)), []);
+    assert_eq!(broken_invariants(request(Effect::Unsafe, &[served], 55, SERVED)), []);
     let turned_away = attempt(1, 1, 0, 5, 8, AttemptOutcome::Rejected);
     let again = attempt(1, 2, 1, 12, 50, AttemptOutcome::Served);
-    assert_eq!(broken(request(Effect::Unsafe, &[turned_away, again], 55, SERVED)), []);
+    assert_eq!(broken_invariants(request(Effect::Unsafe, &[turned_away, again], 55, SERVED)), []);
     let refused = ClientOutcome::Answered { status: 429, body_fits: true };
-    assert_eq!(broken(request(Effect::Unsafe, &[], 1_400, refused)), []);
-    assert_eq!(broken(request(Effect::Pure, &[], 10, ClientOutcome::Unread)), []);
+    assert_eq!(broken_invariants(request(Effect::Unsafe, &[], 1_400, refused)), []);
+    assert_eq!(broken_invariants(request(Effect::Pure, &[], 10, ClientOutcome::Unread)), []);
 }
 
 #[test]
 fn a_request_without_its_final_answer_is_found() {
     let attempts = [attempt(1, 1, 0, 5, 50, AttemptOutcome::Served)];
     for end in [ClientOutcome::Closed, ClientOutcome::NoAnswer, ClientOutcome::Unread] {
-        let found = broken(request(Effect::Pure, &attempts, 100, end.clone()));
+        let found = broken_invariants(request(Effect::Pure, &attempts, 100, end.clone()));
         assert_eq!(found, [Invariant::FinalAnswer], "{end:?}");
     }
-    assert_eq!(broken(request(Effect::Pure, &attempts, 1_700, SERVED)), [Invariant::FinalAnswer]);
-    // The process was killed: what it held is lost.
+    assert_eq!(broken_invariants(request(Effect::Pure, &attempts, 1_700, SERVED)), [Invariant::FinalAnswer]);
+    // The requests of a killed process are lost, which breaks no invariant.
     let mut killed = request(Effect::Pure, &attempts, 100, ClientOutcome::Closed);
     killed.push(at(60, Event::ProcessKilled { gateway: 0, planned: false }));
-    assert_eq!(broken(killed), []);
+    assert_eq!(broken_invariants(killed), []);
 }
 
 #[test]
 fn an_answer_that_is_not_its_own_or_cut_off_is_found() {
     let attempts = [attempt(1, 1, 0, 5, 50, AttemptOutcome::Served)];
     let foreign = ClientOutcome::Answered { status: 200, body_fits: false };
-    assert_eq!(broken(request(Effect::Pure, &attempts, 60, foreign)), [Invariant::TrueAnswer]);
+    assert_eq!(broken_invariants(request(Effect::Pure, &attempts, 60, foreign)), [Invariant::TrueAnswer]);
     assert_eq!(
-        broken(request(Effect::Pure, &attempts, 60, ClientOutcome::Truncated)),
+        broken_invariants(request(Effect::Pure, &attempts, 60, ClientOutcome::Truncated)),
         [Invariant::TrueAnswer]
     );
 }
@@ -113,15 +118,18 @@
     let soon = attempt(1, 2, 1, 60, 90, AttemptOutcome::Served);
     let late = attempt(1, 2, 1, 500, 540, AttemptOutcome::Served);
     let both = |second: &[Entry; 2]| [broke.clone(), second.clone()];
-    assert_eq!(broken(request(Effect::Unsafe, &both(&soon), 95, SERVED)), [Invariant::NoRepeat]);
-    assert_eq!(broken(request(Effect::Keyed, &both(&soon), 95, SERVED)), []);
-    assert_eq!(broken(request(Effect::Keyed, &both(&late), 545, SERVED)), [Invariant::NoRepeat]);
-    assert_eq!(broken(request(Effect::Pure, &both(&late), 545, SERVED)), []);
+    assert_eq!(broken_invariants(request(Effect::Unsafe, &both(&soon), 95, SERVED)), [Invariant::NoRepeat]);
+    assert_eq!(broken_invariants(request(Effect::Keyed, &both(&soon), 95, SERVED)), []);
+    assert_eq!(broken_invariants(request(Effect::Keyed, &both(&late), 545, SERVED)), [Invariant::NoRepeat]);
+    assert_eq!(broken_invariants(request(Effect::Pure, &both(&late), 545, SERVED)), []);
     let out = attempt(1, 1, 0, 5, 300, AttemptOutcome::Cancelled);
-    assert_eq!(broken(request(Effect::Pure, &[out, soon.clone()], 95, SERVED)), [Invariant::AttemptLimit]);
+    assert_eq!(
+        broken_invariants(request(Effect::Pure, &[out, soon.clone()], 95, SERVED)),
+        [Invariant::AttemptLimit]
+    );
     let many: Vec<_> =
         (0..4).map(|n| attempt(1, n, 0, 10 + 20 * n, 15 + 20 * n, AttemptOutcome::Aborted)).collect();
-    assert_eq!(broken(request(Effect::Pure, &many, 200, SERVED)), [Invariant::AttemptLimit]);
+    assert_eq!(broken_invariants(request(Effect::Pure, &many, 200, SERVED)), [Invariant::AttemptLimit]);
 }
 
 #[test]
@@ -129,12 +137,15 @@
     let late = attempt(1, 1, 0, 400, 450, AttemptOutcome::Cancelled);
     let mut left = request(Effect::Pure, &[late], 100, ClientOutcome::Left);
     left.push(at(100, Event::ClientLeft { id: 1 }));
-    assert_eq!(broken(left), [Invariant::ClientLeft]);
-    let told = [
+    assert_eq!(broken_invariants(left), [Invariant::ClientLeft]);
+    let overstated = [
         at(400, began(1, 1, 0, ms(400), ms(900))),
         at(450, Event::AttemptEnded { attempt: 1, end: AttemptOutcome::Served }),
     ];
-    assert_eq!(broken(request(Effect::Pure, &[told], 455, SERVED)), [Invariant::DeadlineTold]);
+    assert_eq!(
+        broken_invariants(request(Effect::Pure, &[overstated], 455, SERVED)),
+        [Invariant::DeadlineTold]
+    );
 }
 
 #[test]
@@ -151,7 +162,7 @@
             let attempts = [attempt(1, 1, 0, first_byte, first_byte + 20, AttemptOutcome::Served)];
             let mut entries = request(Effect::Pure, &attempts, first_byte + 25, SERVED);
             entries.extend(events.iter().map(|event| at(1, event.clone())));
-            assert_eq!(broken(entries), expected, "{events:?} at {first_byte}");
+            assert_eq!(broken_invariants(entries), expected, "{events:?} at {first_byte}");
         }
     }
 }
@@ -167,7 +178,7 @@
     let allowed = scenario.settings.fall_multiple * scenario.settings.cold_from * capacity * 2.0;
     let many = (allowed + 3.0 * allowed.sqrt() + 12.0) as u64;
     cold.extend((0..many).flat_map(|n| attempt(n, n, 0, 1 + n, 2 + n, AttemptOutcome::Served)));
-    assert_eq!(broken(cold), [Invariant::SlowStart]);
+    assert_eq!(broken_invariants(cold), [Invariant::SlowStart]);
     let mut greedy = vec![at(0, Event::MeasureBegan), at(4_000, Event::MeasureEnded)];
     for n in 0..120 {
         let from = 1 + 30 * n;
@@ -185,7 +196,7 @@
         greedy.push(at(from + 9, Event::AttemptEnded { attempt: n, end: AttemptOutcome::Served }));
         greedy.push(at(from + 10, ended(n, SERVED)));
     }
-    assert_eq!(broken(greedy), [Invariant::Quota]);
+    assert_eq!(broken_invariants(greedy), [Invariant::Quota]);
 }
 
 #[test]
@@ -229,7 +240,7 @@
         (Event::BadPeer { gateway: 0, ended_after: Some(ms(2_500)) }, vec![]),
     ];
     for (event, expected) in cases {
-        assert_eq!(broken(vec![at(100, event.clone())]), expected, "{event:?}");
+        assert_eq!(broken_invariants(vec![at(100, event.clone())]), expected, "{event:?}");
     }
 }
 
@@ -241,7 +252,7 @@
         let status = if id < 9 { 200 } else { 429 };
         entries.push(at(200 + id, ended(id, ClientOutcome::Answered { status, body_fits: true })));
     }
-    assert_eq!(broken(entries), [Invariant::Serves, Invariant::Recovery]);
+    assert_eq!(broken_invariants(entries), [Invariant::Serves, Invariant::Recovery]);
 }
 
 #[test]
