--- a/soak/src/oracle/limits.rs
+++ b/soak/src/oracle/limits.rs
@@ -39,7 +39,7 @@
 /// is warm or starts again. Reports the first excess only.
 fn check_slow_start(view: &View<'_>, backend: BackendIndex, start: Moment, found: &mut Vec<Violation>) {
     let settings = &view.scenario.settings;
-    let collapse_window = Duration::from_millis(settings.fall_after_ms);
+    let collapse_window = Duration::from_millis(settings.collapse_after_ms);
     let warm_up = Duration::from_millis(settings.warm_up_ms);
     let capacity = view.scenario.slots as f64 * 1e3 / view.scenario.work_ms;
     let next = view.entries.iter().filter(|e| e.at > start);
@@ -52,10 +52,10 @@
         .map(|a| (a.began, knew_of_start(view, a.gateway, backend, start, a.first_byte)))
         .collect();
     for (last, (at, _)) in attempts.iter().enumerate() {
-        let capacity_share = settings.cold_from
-            + (1.0 - settings.cold_from) * (*at - start).as_secs_f64() / warm_up.as_secs_f64();
+        let capacity_share = settings.cold_capacity
+            + (1.0 - settings.cold_capacity) * (*at - start).as_secs_f64() / warm_up.as_secs_f64();
         let bound = collapse_bound(
-            settings.fall_multiple * capacity_share.min(1.0) * capacity * collapse_window.as_secs_f64(),
+            settings.collapse_multiple * capacity_share.min(1.0) * capacity * collapse_window.as_secs_f64(),
         );
         let in_window = attempts[..=last].iter().filter(|(t, _)| *t + collapse_window > *at);
         let (all, informed) = in_window.fold((0, 0), |(all, informed), (_, was_informed)| {
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -155,7 +155,7 @@
 }
 
 /// Checks that a later attempt was an allowed repeat of an earlier one, and that the two did not overlap unless
-/// second copies are allowed.
+/// hedging is enabled.
 fn check_attempt_pair(
     view: &View<'_>,
     request: &SentRequest,
@@ -184,7 +184,7 @@
         found.push(Violation::for_request(Invariant::NoRepeat, later.began, later.id, description));
     }
     let still_in_flight = earlier.end.is_none_or(|(at, _)| at > later.began + CANCEL_DELAY);
-    if still_in_flight && !view.scenario.settings.second_copies && !view.has_link_trouble() {
+    if still_in_flight && !view.scenario.settings.hedging && !view.has_link_trouble() {
         let description =
             format!("two attempts at once, at backends {} and {}", earlier.backend, later.backend);
         found.push(Violation::for_request(Invariant::AttemptLimit, later.began, later.id, description));
--- a/soak/src/stand_in/backend.rs
+++ b/soak/src/stand_in/backend.rs
@@ -1,7 +1,7 @@
 //! The stand-in for backends: they work on a few requests at a time, are slow after a cold start, and can fail in the
 //! ways of `BackendMode`.
 
-use crate::http::{query, read_body, read_head, Buffered, Head};
+use crate::http::{query_value, read_body, read_head, Buffered, Head};
 use crate::link::{Link, LinkStream};
 use crate::scenario::Scenario;
 use crate::trace::{AttemptOutcome, Event, Trace};
@@ -60,7 +60,7 @@
     /// The mean time of work on a request when warm.
     mean_work: Duration,
     /// The share of its capacity that the backend has at a cold start.
-    cold_from: f64,
+    cold_capacity: f64,
     /// The time from a cold start to full capacity.
     warm_up: Duration,
     /// When the backend last started cold; `None` if it is warm from the beginning.
@@ -93,7 +93,7 @@
             slots: Semaphore::new(scenario.slots),
             waiting: AtomicU64::new(0),
             mean_work: Duration::from_secs_f64(scenario.work_ms / 1e3),
-            cold_from: settings.cold_from,
+            cold_capacity: settings.cold_capacity,
             warm_up: Duration::from_millis(settings.warm_up_ms),
             started_at: Mutex::new(None),
             mode: watch::channel(BackendMode::Healthy).0,
@@ -154,11 +154,11 @@
         &self.links[gateway]
     }
 
-    /// The present share of full capacity: from `cold_from` at a cold start to 1 after `warm_up`.
+    /// The present share of full capacity: from `cold_capacity` at a cold start to 1 after `warm_up`.
     fn capacity_share(&self) -> f64 {
         let started_at = *self.started_at.lock().unwrap_or_else(PoisonError::into_inner);
         let warm = |at: Instant| at.elapsed().as_secs_f64() / self.warm_up.as_secs_f64();
-        started_at.map_or(1.0, |at| (self.cold_from + (1.0 - self.cold_from) * warm(at)).min(1.0))
+        started_at.map_or(1.0, |at| (self.cold_capacity + (1.0 - self.cold_capacity) * warm(at)).min(1.0))
     }
 
     /// Accepts a gateway's connections and follows the listeners' state.
@@ -219,7 +219,7 @@
             let path = head.target().split('?').next().unwrap_or_default();
             if matches!(path, "/load" | "/healthz") {
                 if *self.mode.borrow() == BackendMode::Hangs {
-                    return stream.closed().await;
+                    return stream.wait_closed().await;
                 }
                 if stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await.is_err() {
                     return;
@@ -279,13 +279,13 @@
             BackendMode::Hangs => {
                 let mut mode = self.mode.subscribe();
                 return tokio::select! {
-                    () = stream.closed() => (AttemptOutcome::Cancelled, ConnectionAction::Close),
+                    () = stream.wait_closed() => (AttemptOutcome::Cancelled, ConnectionAction::Close),
                     _ = mode.wait_for(|mode| *mode != BackendMode::Hangs) => (AttemptOutcome::Aborted, ConnectionAction::Reset),
                 };
             }
             BackendMode::Resets if draw < 0.5 => {
                 return tokio::select! {
-                    () = stream.closed() => (AttemptOutcome::Cancelled, ConnectionAction::Close),
+                    () = stream.wait_closed() => (AttemptOutcome::Cancelled, ConnectionAction::Close),
                     () = sleep(self.mean_work.mul_f64(2.0 * draw)) => (AttemptOutcome::Aborted, ConnectionAction::Reset),
                 };
             }
@@ -310,7 +310,7 @@
             drop(permit);
         };
         tokio::select! {
-            () = stream.closed() => return (AttemptOutcome::Cancelled, ConnectionAction::Close),
+            () = stream.wait_closed() => return (AttemptOutcome::Cancelled, ConnectionAction::Close),
             () = work_done => {}
         }
         self.answer_request(id, stream, head, draw).await
@@ -352,8 +352,9 @@
         head: &Head,
         draw: f64,
     ) -> (AttemptOutcome, ConnectionAction) {
-        let size = query(head.target(), "size").and_then(|v| v.parse::<usize>().ok()).unwrap_or(16);
-        let pause = query(head.target(), "pause_ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
+        let size = query_value(head.target(), "size").and_then(|v| v.parse::<usize>().ok()).unwrap_or(16);
+        let pause =
+            query_value(head.target(), "pause_ms").and_then(|v| v.parse().ok()).map(Duration::from_millis);
         let mut body = format!("{id:016x}").into_bytes();
         body.resize(size.max(16), b'x');
         let framing = match draw {
--- a/soak/src/stand_in/counter.rs
+++ b/soak/src/stand_in/counter.rs
@@ -1,7 +1,7 @@
 //! The stand-in for the shared counter service: totals by name, which the gateways add to.
 
 use super::door::DedicatedListener;
-use crate::http::{query, read_body, read_head};
+use crate::http::{query_value, read_body, read_head};
 use crate::link::LinkStream;
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -102,8 +102,8 @@
         }
         let target = head.target().to_owned();
         let name = target.split('?').next().and_then(|path| path.strip_prefix("/v2/numbers/"));
-        let delta = query(&target, "delta").and_then(|v| v.parse::<f64>().ok());
-        let lifetime = query(&target, "life_ms").and_then(|v| v.parse::<u64>().ok());
+        let delta = query_value(&target, "delta").and_then(|v| v.parse::<f64>().ok());
+        let lifetime = query_value(&target, "life_ms").and_then(|v| v.parse::<u64>().ok());
         let (Some(name), Some(delta), Some(lifetime)) = (name, delta, lifetime) else {
             let _ = stream.write_all(b"HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n").await;
             continue;
--- a/soak/src/stand_in/discovery.rs
+++ b/soak/src/stand_in/discovery.rs
@@ -1,7 +1,7 @@
 //! The stand-in for discovery: one registry of backends, and an agent of it for each gateway.
 
 use super::door::DedicatedListener;
-use crate::http::{query, read_body, read_head};
+use crate::http::{query_value, read_body, read_head};
 use crate::link::LinkStream;
 use crate::trace::{BackendState, Event, Trace};
 use serde_json::{json, Value};
@@ -195,8 +195,8 @@
         if read_body(&mut stream, &head, false).await.is_err() {
             return;
         }
-        let known_index = query(head.target(), "index").and_then(|v| v.parse::<u64>().ok());
-        let wait_ms = query(head.target(), "wait").and_then(|v| v.parse::<u64>().ok());
+        let known_index = query_value(head.target(), "index").and_then(|v| v.parse::<u64>().ok());
+        let wait_ms = query_value(head.target(), "wait").and_then(|v| v.parse::<u64>().ok());
         if let (Some(known_index), Some(wait_ms)) = (known_index, wait_ms) {
             let mut latest = registry.latest.subscribe();
             let newer_index = async { drop(latest.wait_for(|index| *index > known_index).await) };
