--- a/soak/src/batch.rs
+++ b/soak/src/batch.rs
@@ -1,41 +1,44 @@
-//! Many runs, some at a time.
+//! Executes many runs, a limited number of them at the same time.
 
-use crate::run::{self, Kept, Report};
+use crate::run::{self, Report, RunPaths};
 use crate::scenario::Scenario;
 use anyhow::ensure;
 use std::sync::{Arc, Mutex};
 use tokio::sync::mpsc;
 
-/// Plays runs, some at a time, and tells each as it ends.
-pub async fn play_all(
+/// Executes the scenarios, each with its replay command, at most `jobs` at a time.
+///
+/// Calls `report_run` for each run as it ends and returns the reports in that order. Fails with the first run that
+/// could not be set up, and when a run was lost because its task ended early.
+pub async fn run_all(
     scenarios: Vec<(Scenario, String)>,
-    kept: &Kept,
+    paths: &RunPaths,
     jobs: usize,
-    mut tell: impl FnMut(&Scenario, &Report),
+    mut report_run: impl FnMut(&Scenario, &Report),
 ) -> anyhow::Result<Vec<Report>> {
     let count = scenarios.len();
-    let line = Arc::new(Mutex::new(scenarios.into_iter()));
-    let (done, mut ended) = mpsc::unbounded_channel();
+    let queue = Arc::new(Mutex::new(scenarios.into_iter()));
+    let (sender, mut finished) = mpsc::unbounded_channel();
     for slot in 0..jobs.min(count) {
-        let (line, done, kept) = (line.clone(), done.clone(), kept.clone());
+        let (queue, sender, paths) = (queue.clone(), sender.clone(), paths.clone());
         tokio::spawn(async move {
             loop {
-                let next = line.lock().ok().and_then(|mut line| line.next());
+                let next = queue.lock().ok().and_then(|mut queue| queue.next());
                 let Some((scenario, replay)) = next else { return };
-                let report = run::play(scenario.clone(), &kept, slot, replay).await;
-                if done.send((scenario, report)).is_err() {
+                let report = run::execute(scenario.clone(), &paths, slot, replay).await;
+                if sender.send((scenario, report)).is_err() {
                     return;
                 }
             }
         });
     }
-    drop(done);
+    drop(sender);
     let mut reports = Vec::new();
-    while let Some((scenario, report)) = ended.recv().await {
+    while let Some((scenario, report)) = finished.recv().await {
         let report = report?;
-        tell(&scenario, &report);
+        report_run(&scenario, &report);
         reports.push(report);
     }
-    ensure!(reports.len() == count, "{} of {count} runs were not played", count - reports.len());
+    ensure!(reports.len() == count, "{} of {count} runs were not executed", count - reports.len());
     Ok(reports)
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! The clients, and the front that spreads their requests over the gateways.
+//! The clients of the gateways, and the front that distributes their requests over the gateways.
 
 use crate::http::{read_body, read_head, Buffered, PlainStream};
 use crate::scenario::{Scenario, GREEDY_CUSTOMER, GREEDY_PLAN, USUAL_PLAN};
@@ -13,139 +13,158 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// A client waits so much longer than it says before it holds an answer to be missing.
-const SILENCE: Duration = Duration::from_millis(1_500);
-/// An answer that goes on past its time is waited for so long.
-const LONG_ANSWER_TIME: Duration = Duration::from_secs(15);
-/// After a close, the reset that tells of unread bytes comes within this.
-const RESET_FOLLOWS: Duration = Duration::from_millis(15);
-/// A connection is given up that is not up by then.
+/// A client waits this much longer than the time that it states before the answer counts as missing.
+const NO_ANSWER_MARGIN: Duration = Duration::from_millis(1_500);
+/// The time that a client waits for a long answer, which may go on past the deadline.
+const LONG_ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+/// The reset that signals unread bytes arrives within this time after the close.
+const RESET_WAIT: Duration = Duration::from_millis(15);
+/// The time limit for a connection to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Connections kept to one gateway.
-const MAX_IDLE: usize = 24;
-/// Bad peers are owed an end within 3 s; they stay so long.
-const BAD_PEER_STAYS: Duration = Duration::from_millis(4_000);
+/// The maximum number of idle connections to one gateway.
+const MAX_IDLE_CONNECTIONS: usize = 24;
+/// The time that a bad peer waits; a gateway must end its connection within 3 s.
+const BAD_PEER_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// Whether the front sends requests to a gateway.
+/// How the front sends requests to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Admission {
-    /// Not at all.
+    /// It sends none.
     Closed,
-    /// Over connections that are there.
-    KeptConnections,
-    /// Also over new ones.
+    /// It sends requests over existing connections only.
+    ExistingConnections,
+    /// It also opens new connections.
     Open,
 }
 
-/// What clients do in a thousand requests, beside usual ones.
+/// How often clients deviate from usual requests, each in a thousand requests.
 #[derive(Default)]
-pub struct Moods {
-    /// They leave while they wait.
-    pub leave: AtomicU32,
-    /// They stop in the middle of a request.
-    pub stop: AtomicU32,
-    /// They send much at once and go.
-    pub flood: AtomicU32,
-    /// They have very little time.
-    pub hurry: AtomicU32,
-    /// They send or ask for long bodies.
-    pub long: AtomicU32,
+pub struct BehaviorRates {
+    /// They close the connection while they wait for the answer.
+    pub leave_per_mille: AtomicU32,
+    /// They stop in the middle of a request and keep the connection open.
+    pub stop_per_mille: AtomicU32,
+    /// They send many requests at once and close the connection.
+    pub flood_per_mille: AtomicU32,
+    /// They state a very short time limit.
+    pub hurry_per_mille: AtomicU32,
+    /// They send long bodies or ask for long answers.
+    pub long_bodies_per_mille: AtomicU32,
 }
 
+/// How a client handles one request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
+enum Behavior {
     Usual,
+    /// It closes the connection after a while, some of the time with a reset.
     Leaves {
         after: Duration,
         resets: bool,
     },
-    Hurries,
-    /// It asks on a connection that has rested for long.
-    Rests,
+    /// It states a very short time limit.
+    ShortTimeout,
+    /// It sends the request over a connection that was idle for about as long as a gateway keeps one.
+    ReusesIdle,
+    /// It sends a long body.
     Uploads {
         bytes: usize,
         slowly: bool,
     },
+    /// It asks for a long answer.
     Downloads {
         bytes: usize,
         pause_ms: u64,
     },
 }
 
-struct Gate {
+/// The front's view of one gateway.
+struct GatewayClient {
     address: SocketAddr,
+    /// An [`Admission`].
     admission: AtomicU8,
     idle: Mutex<Vec<PlainStream>>,
 }
 
-/// All clients.
+/// All clients of a run, and the front.
 pub struct Clients {
     trace: Arc<Trace>,
     scenario: Arc<Scenario>,
-    gates: Vec<Gate>,
+    gateways: Vec<GatewayClient>,
     next_id: AtomicU64,
-    out: AtomicUsize,
-    /// What they do.
-    pub moods: Moods,
-    /// No more requests are sent.
+    /// Requests in flight.
+    in_flight: AtomicUsize,
+    /// How often they deviate from usual requests.
+    pub behavior_rates: BehaviorRates,
+    /// Set to end the traffic.
     pub stopped: AtomicBool,
-    /// None but proper requests are sent.
-    pub proper_only: AtomicBool,
+    /// Set to end all traffic but that of `run`.
+    pub well_formed_only: AtomicBool,
 }
 
-struct Planned {
+/// A request that was drawn and is to be sent.
+struct PlannedRequest {
     gateway: usize,
     customer: u64,
     effect: Effect,
     units: u32,
-    manner: Manner,
+    behavior: Behavior,
 }
 
 impl Clients {
-    /// Clients of the gateways at these addresses, none of which is admitted yet.
+    /// Creates the clients of the gateways at these addresses. No gateway is admitted yet.
     pub fn new(trace: Arc<Trace>, scenario: Arc<Scenario>, addresses: &[SocketAddr]) -> Arc<Self> {
-        let gate = |address: &SocketAddr| Gate {
+        let gateway = |address: &SocketAddr| GatewayClient {
             address: *address,
             admission: AtomicU8::new(Admission::Closed as u8),
             idle: Mutex::default(),
         };
         let next_id = AtomicU64::new(scenario.seed << 32);
-        let gates = addresses.iter().map(gate).collect();
-        let (out, moods) = (AtomicUsize::new(0), Moods::default());
-        let (stopped, proper_only) = (AtomicBool::new(false), AtomicBool::new(false));
-        Arc::new(Clients { trace, scenario, gates, next_id, out, moods, stopped, proper_only })
+        let gateways = addresses.iter().map(gateway).collect();
+        let (in_flight, behavior_rates) = (AtomicUsize::new(0), BehaviorRates::default());
+        let (stopped, well_formed_only) = (AtomicBool::new(false), AtomicBool::new(false));
+        Arc::new(Clients {
+            trace,
+            scenario,
+            gateways,
+            next_id,
+            in_flight,
+            behavior_rates,
+            stopped,
+            well_formed_only,
+        })
     }
 
-    /// Sends requests to a gateway from now on in this way.
+    /// Sets how requests are sent to a gateway from now on.
     pub fn admit(&self, gateway: usize, admission: Admission) {
-        self.gates[gateway].admission.store(admission as u8, Ordering::Relaxed);
+        self.gateways[gateway].admission.store(admission as u8, Ordering::Relaxed);
     }
 
-    /// Lets go of the connections to a gateway.
+    /// Closes the idle connections to a gateway.
     pub fn drop_connections(&self, gateway: usize) {
-        self.idle(gateway).clear();
+        self.idle_connections(gateway).clear();
     }
 
-    fn idle(&self, gateway: usize) -> std::sync::MutexGuard<'_, Vec<PlainStream>> {
-        self.gates[gateway].idle.lock().unwrap_or_else(PoisonError::into_inner)
+    fn idle_connections(&self, gateway: usize) -> std::sync::MutexGuard<'_, Vec<PlainStream>> {
+        self.gateways[gateway].idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn may_open(&self, gateway: usize) -> bool {
-        self.gates[gateway].admission.load(Ordering::Relaxed) == Admission::Open as u8
+    fn may_connect(&self, gateway: usize) -> bool {
+        self.gateways[gateway].admission.load(Ordering::Relaxed) == Admission::Open as u8
     }
 
-    /// Whether a request can go to a gateway at all.
-    fn reachable(&self, gateway: usize) -> bool {
-        self.may_open(gateway) || !self.idle(gateway).is_empty()
+    /// Whether a request can be sent to a gateway at all.
+    fn can_reach(&self, gateway: usize) -> bool {
+        self.may_connect(gateway) || !self.idle_connections(gateway).is_empty()
     }
 
-    /// Requests that are out.
-    pub fn out(&self) -> usize {
-        self.out.load(Ordering::Relaxed)
+    /// The number of requests in flight.
+    pub fn in_flight_requests(&self) -> usize {
+        self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Sends requests until stopped: arrivals are drawn, and wait for nobody.
+    /// Sends requests until `stopped` is set. The traffic is an open loop: arrivals are drawn and do not wait for the
+    /// answers to earlier requests.
     pub async fn run(self: Arc<Self>, seed: u64) {
         let mut random = Rng::with_seed(seed);
         let traffic = self.scenario.traffic.clone();
@@ -155,127 +174,131 @@
             at += Duration::from_secs_f64(-random.f64().max(1e-9).ln() / rate);
             sleep_until(at).await;
             let greedy = random.f64() * rate < traffic.greedy_rate;
-            let Some(planned) = self.plan(&mut random, greedy) else { continue };
+            let Some(planned) = self.plan_request(&mut random, greedy) else { continue };
             let (clients, seed) = (self.clone(), random.u64(..));
             tokio::spawn(async move {
-                clients.out.fetch_add(1, Ordering::Relaxed);
-                clients.issue(planned, Rng::with_seed(seed)).await;
-                clients.out.fetch_sub(1, Ordering::Relaxed);
+                clients.in_flight.fetch_add(1, Ordering::Relaxed);
+                clients.send_with_retry(planned, Rng::with_seed(seed)).await;
+                clients.in_flight.fetch_sub(1, Ordering::Relaxed);
             });
         }
     }
 
-    /// The gateways of a customer's set that can be reached, one of them chosen unevenly.
-    fn plan(&self, random: &mut Rng, greedy: bool) -> Option<Planned> {
-        let gateways = self.gates.len();
+    /// Draws a request. Its gateway is drawn unevenly from those of the customer's set that can be reached; `None` if
+    /// none can.
+    fn plan_request(&self, random: &mut Rng, greedy: bool) -> Option<PlannedRequest> {
+        let gateways = self.gateways.len();
         let customers = self.scenario.traffic.usual_customers;
         let customer = if greedy { GREEDY_CUSTOMER } else { 100 + random.u64(..customers) };
-        let (first, spread) = self.set_of(customer);
-        let reachable = |place: &usize| self.reachable((first + place) % gateways);
-        let places: Vec<usize> = (0..spread).filter(reachable).collect();
-        let uneven = random.f64() * random.f64();
-        let place = places.get((uneven * places.len() as f64) as usize)?;
+        let (first, spread) = self.gateway_set(customer);
+        let reachable = |offset: &usize| self.can_reach((first + offset) % gateways);
+        let offsets: Vec<usize> = (0..spread).filter(reachable).collect();
+        let skewed = random.f64() * random.f64();
+        let offset = offsets.get((skewed * offsets.len() as f64) as usize)?;
         let effect = match random.f64() {
-            lot if lot < 0.55 => Effect::Pure,
-            lot if lot < 0.8 => Effect::Keyed,
+            draw if draw < 0.55 => Effect::Pure,
+            draw if draw < 0.8 => Effect::Keyed,
             _ => Effect::Unsafe,
         };
         let units = if greedy { 1 } else { random.u32(1..=3) };
-        let manner = if greedy { Manner::Usual } else { self.manner(random, effect) };
-        Some(Planned { gateway: (first + place) % gateways, customer, effect, units, manner })
+        let behavior = if greedy { Behavior::Usual } else { self.draw_behavior(random, effect) };
+        Some(PlannedRequest { gateway: (first + offset) % gateways, customer, effect, units, behavior })
     }
 
-    fn set_of(&self, customer: u64) -> (usize, usize) {
-        let first = (customer.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % self.gates.len();
+    /// The gateways that a customer's requests come through: the first one, and how many from there on.
+    fn gateway_set(&self, customer: u64) -> (usize, usize) {
+        let first = (customer.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % self.gateways.len();
         (first, self.scenario.traffic.spread)
     }
 
-    fn manner(&self, random: &mut Rng, effect: Effect) -> Manner {
-        let mut lot = random.u32(..1000);
-        let mut drawn = |mood: &AtomicU32| {
-            let part = mood.load(Ordering::Relaxed);
-            let drawn = lot < part;
-            lot = lot.saturating_sub(part);
+    fn draw_behavior(&self, random: &mut Rng, effect: Effect) -> Behavior {
+        let mut remaining = random.u32(..1000);
+        let mut drawn = |rate: &AtomicU32| {
+            let per_mille = rate.load(Ordering::Relaxed);
+            let drawn = remaining < per_mille;
+            remaining = remaining.saturating_sub(per_mille);
             drawn
         };
-        if drawn(&self.moods.leave) {
+        if drawn(&self.behavior_rates.leave_per_mille) {
             let after = Duration::from_millis(random.u64(..150));
-            return Manner::Leaves { after, resets: random.bool() };
+            return Behavior::Leaves { after, resets: random.bool() };
         }
-        if drawn(&self.moods.hurry) {
-            return Manner::Hurries;
+        if drawn(&self.behavior_rates.hurry_per_mille) {
+            return Behavior::ShortTimeout;
         }
-        if drawn(&self.moods.long) {
+        if drawn(&self.behavior_rates.long_bodies_per_mille) {
             let bytes = random.usize(20_000..600_000);
             return match effect {
-                Effect::Pure => Manner::Downloads { bytes, pause_ms: random.u64(..20) },
-                _ => Manner::Uploads { bytes, slowly: random.bool() },
+                Effect::Pure => Behavior::Downloads { bytes, pause_ms: random.u64(..20) },
+                _ => Behavior::Uploads { bytes, slowly: random.bool() },
             };
         }
-        Manner::Usual
+        Behavior::Usual
     }
 
-    /// A new connection to a gateway.
-    async fn open(&self, gateway: usize) -> Option<TcpStream> {
-        let connect = TcpStream::connect(self.gates[gateway].address);
+    /// Opens a connection to a gateway; `None` on an error and after the time limit.
+    async fn connect(&self, gateway: usize) -> Option<TcpStream> {
+        let connect = TcpStream::connect(self.gateways[gateway].address);
         timeout(CONNECT_TIMEOUT, connect).await.ok()?.ok()
     }
 
-    /// Takes a connection that rests, or opens one; also whether it had been used before.
-    async fn connection(&self, gateway: usize, random: &mut Rng) -> Option<(PlainStream, bool)> {
+    /// Takes an idle connection, or opens one if that is allowed. Also returns whether the connection was used before.
+    async fn reuse_or_connect(&self, gateway: usize, random: &mut Rng) -> Option<(PlainStream, bool)> {
         loop {
-            let kept = {
-                let mut idle = self.idle(gateway);
+            let reused = {
+                let mut idle = self.idle_connections(gateway);
                 let count = idle.len();
                 (count > 0).then(|| idle.swap_remove(random.usize(..count)))
             };
-            let Some(kept) = kept else { break };
-            // One that the gateway has closed is not used again.
-            match kept.stream.try_read(&mut [0]) {
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return Some((kept, true)),
+            let Some(reused) = reused else { break };
+            // A connection that the gateway has closed is not used again.
+            match reused.stream.try_read(&mut [0]) {
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return Some((reused, true)),
                 _ => {}
             }
         }
-        if !self.may_open(gateway) {
+        if !self.may_connect(gateway) {
             return None;
         }
-        let stream = self.open(gateway).await?;
+        let stream = self.connect(gateway).await?;
         let _ = stream.set_nodelay(true);
         Some((PlainStream::new(stream), false))
     }
 
-    async fn issue(&self, planned: Planned, mut random: Rng) {
-        let Some((stream, used)) = self.connection(planned.gateway, &mut random).await else { return };
+    /// Sends a request, and once more if the gateway closed the reused connection while the request was on its way.
+    async fn send_with_retry(&self, planned: PlannedRequest, mut random: Rng) {
+        let Some((stream, used)) = self.reuse_or_connect(planned.gateway, &mut random).await else { return };
         let end = self.send(&planned, stream, &mut random).await;
-        // A request that crossed the end of a resting connection is sent once more.
-        if end == ClientEnd::Unread && used && self.may_open(planned.gateway) {
-            if let Some(stream) = self.open(planned.gateway).await {
+        if end == ClientEnd::Unread && used && self.may_connect(planned.gateway) {
+            if let Some(stream) = self.connect(planned.gateway).await {
                 self.send(&planned, PlainStream::new(stream), &mut random).await;
             }
         }
     }
 
-    fn wait(&self, planned: &Planned, random: &mut Rng) -> Duration {
+    /// The time limit that the client states.
+    fn client_timeout(&self, planned: &PlannedRequest, random: &mut Rng) -> Duration {
         let deadlines = self.scenario.settings.deadlines_ms;
         let deadline = deadlines[planned.effect as usize];
-        match planned.manner {
-            Manner::Hurries => Duration::from_millis(random.u64(5..80)),
+        match planned.behavior {
+            Behavior::ShortTimeout => Duration::from_millis(random.u64(5..80)),
             _ => Duration::from_millis(deadline),
         }
     }
 
-    fn head(&self, planned: &Planned, id: RequestId, wait: Duration, length: usize) -> String {
+    /// The head of a request; `length` is that of the body in bytes.
+    fn request_head(&self, planned: &PlannedRequest, id: RequestId, wait: Duration, length: usize) -> String {
         let (method, class, key) = match planned.effect {
             Effect::Pure => ("GET", "search", String::new()),
             Effect::Keyed => ("POST", "update", format!("Idempotency-Key: k{id:x}\r\n")),
             Effect::Unsafe => ("POST", "book", String::new()),
         };
-        let query = match planned.manner {
-            Manner::Downloads { bytes, pause_ms } => format!("?size={bytes}&pause_ms={pause_ms}"),
+        let query = match planned.behavior {
+            Behavior::Downloads { bytes, pause_ms } => format!("?size={bytes}&pause_ms={pause_ms}"),
             _ => String::new(),
         };
         let plan = if planned.customer == GREEDY_CUSTOMER { GREEDY_PLAN.0 } else { USUAL_PLAN.0 };
-        let (first, spread) = self.set_of(planned.customer);
+        let (first, spread) = self.gateway_set(planned.customer);
         let length = if method == "POST" { format!("Content-Length: {length}\r\n") } else { String::new() };
         format!(
             "{method} /{class}/{:016x}{query} HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {id:016x}\r\n\
@@ -286,23 +309,23 @@
         )
     }
 
-    /// Sends one request and waits for what comes of it.
-    async fn send(&self, planned: &Planned, mut stream: PlainStream, random: &mut Rng) -> ClientEnd {
+    /// Sends one request and waits for its end, which is recorded if the whole request could be written.
+    async fn send(&self, planned: &PlannedRequest, mut stream: PlainStream, random: &mut Rng) -> ClientEnd {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let wait = self.wait(planned, random);
-        let body = match planned.manner {
-            Manner::Uploads { bytes, .. } => bytes,
+        let wait = self.client_timeout(planned, random);
+        let body = match planned.behavior {
+            Behavior::Uploads { bytes, .. } => bytes,
             _ => 64,
         };
-        let head = self.head(planned, id, wait, body);
+        let head = self.request_head(planned, id, wait, body);
         let body = vec![b'b'; if planned.effect == Effect::Pure { 0 } else { body }];
-        let slowly = matches!(planned.manner, Manner::Uploads { slowly: true, .. });
+        let slowly = matches!(planned.behavior, Behavior::Uploads { slowly: true, .. });
         if let Err(end) = self.write_request(&mut stream, head.as_bytes(), &body, slowly).await {
-            // Not whole: the gateway owes nothing, but may have answered.
+            // The request was not written in full: no answer is due, though the gateway may have sent one.
             return end;
         }
-        let usual = planned.manner == Manner::Usual && planned.customer != GREEDY_CUSTOMER;
-        let long_answer = matches!(planned.manner, Manner::Downloads { .. });
+        let usual = planned.behavior == Behavior::Usual && planned.customer != GREEDY_CUSTOMER;
+        let long_answer = matches!(planned.behavior, Behavior::Downloads { .. });
         self.trace.record(Event::Sent(SentRequest {
             id,
             gateway: planned.gateway,
@@ -312,10 +335,10 @@
             long_answer,
             usual,
         }));
-        if let Manner::Leaves { after, resets } = planned.manner {
-            if let Ok(answered) = timeout(after, self.answer(id, &mut stream)).await {
-                self.trace.record(Event::Ended { id, end: answered.clone() });
-                return answered;
+        if let Behavior::Leaves { after, resets } = planned.behavior {
+            if let Ok(end) = timeout(after, self.read_answer(id, &mut stream)).await {
+                self.trace.record(Event::Ended { id, end: end.clone() });
+                return end;
             }
             if resets {
                 let _ = stream.stream.set_zero_linger();
@@ -325,11 +348,12 @@
             self.trace.record(Event::Ended { id, end: ClientEnd::Left });
             return ClientEnd::Left;
         }
-        let patience = if long_answer { LONG_ANSWER_TIME } else { wait + SILENCE };
-        let end = timeout(patience, self.answer(id, &mut stream)).await.unwrap_or(ClientEnd::Silent);
+        let answer_timeout = if long_answer { LONG_ANSWER_TIMEOUT } else { wait + NO_ANSWER_MARGIN };
+        let end =
+            timeout(answer_timeout, self.read_answer(id, &mut stream)).await.unwrap_or(ClientEnd::Silent);
         if matches!(end, ClientEnd::Answered { .. }) {
-            let mut idle = self.idle(planned.gateway);
-            if idle.len() < MAX_IDLE {
+            let mut idle = self.idle_connections(planned.gateway);
+            if idle.len() < MAX_IDLE_CONNECTIONS {
                 idle.push(stream);
             }
         }
@@ -337,6 +361,8 @@
         end
     }
 
+    /// Writes a request; a body of more than one piece is written piece by piece. Fails with the end that the error
+    /// stands for.
     async fn write_request(
         &self,
         stream: &mut PlainStream,
@@ -361,34 +387,34 @@
         Ok(())
     }
 
-    /// Reads an answer to its end, whatever that is.
-    async fn answer(&self, id: RequestId, stream: &mut PlainStream) -> ClientEnd {
+    /// Reads the answer to a request and tells how it ended.
+    async fn read_answer(&self, id: RequestId, stream: &mut PlainStream) -> ClientEnd {
         let head = match read_head(stream).await {
             Ok(Some(head)) => head,
-            Ok(None) => return how_closed(stream).await,
+            Ok(None) => return classify_close(stream).await,
             Err(e) if stream.buffer().is_empty() && is_reset(&e) => return ClientEnd::Unread,
             Err(_) => return ClientEnd::Cut,
         };
         match read_body(stream, &head, head.status() == 200).await {
-            Ok(seen) => {
-                let body_fits = head.status() != 200 || seen.beginning == format!("{id:016x}").into_bytes();
+            Ok(body) => {
+                let body_fits = head.status() != 200 || body.prefix == format!("{id:016x}").into_bytes();
                 ClientEnd::Answered { status: head.status(), body_fits }
             }
             Err(_) => ClientEnd::Cut,
         }
     }
 
-    /// Peers that send no proper request, for as long as clients have that mood.
-    pub async fn bad_peers(self: Arc<Self>, seed: u64) {
+    /// Runs peers that send no proper request, as often as the rates say, until `well_formed_only` is set.
+    pub async fn run_bad_peers(self: Arc<Self>, seed: u64) {
         let mut random = Rng::with_seed(seed);
-        while !self.proper_only.load(Ordering::Relaxed) {
+        while !self.well_formed_only.load(Ordering::Relaxed) {
             sleep(Duration::from_millis(random.u64(10..60))).await;
-            let gateway = random.usize(..self.gates.len());
-            if !self.may_open(gateway) {
+            let gateway = random.usize(..self.gateways.len());
+            if !self.may_connect(gateway) {
                 continue;
             }
-            let stops = random.u32(..1000) < self.moods.stop.load(Ordering::Relaxed);
-            let floods = random.u32(..1000) < self.moods.flood.load(Ordering::Relaxed);
+            let stops = random.u32(..1000) < self.behavior_rates.stop_per_mille.load(Ordering::Relaxed);
+            let floods = random.u32(..1000) < self.behavior_rates.flood_per_mille.load(Ordering::Relaxed);
             let (clients, seed) = (self.clone(), random.u64(..));
             if stops {
                 tokio::spawn(async move { clients.stop_in_request(gateway, Rng::with_seed(seed)).await });
@@ -398,38 +424,39 @@
         }
     }
 
-    fn some_request(&self, gateway: usize, bytes: usize) -> (RequestId, String) {
+    /// Draws a new id and returns it with the head of a usual request; `bytes` is the length of the body.
+    fn usual_request_head(&self, gateway: usize, bytes: usize) -> (RequestId, String) {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let planned = Planned {
+        let planned = PlannedRequest {
             gateway,
             customer: 100 + id % self.scenario.traffic.usual_customers,
             effect: Effect::Unsafe,
             units: 1,
-            manner: Manner::Usual,
+            behavior: Behavior::Usual,
         };
         let wait = Duration::from_millis(self.scenario.settings.deadlines_ms[2]);
-        (id, self.head(&planned, id, wait, bytes))
+        (id, self.request_head(&planned, id, wait, bytes))
     }
 
-    /// Sends a part of a request, and stays.
+    /// Sends a part of a request, keeps the connection open, and records when the gateway ends it.
     async fn stop_in_request(&self, gateway: usize, mut random: Rng) {
-        let Some(stream) = self.open(gateway).await else { return };
+        let Some(stream) = self.connect(gateway).await else { return };
         let (mut stream, began) = (PlainStream::new(stream), Instant::now());
-        let (_, head) = self.some_request(gateway, 4096);
+        let (_, head) = self.usual_request_head(gateway, 4096);
         let part = &head.as_bytes()[..random.usize(0..=head.len())];
         let _ = stream.stream.write_all(part).await;
-        let ended = timeout(BAD_PEER_STAYS, stream.fill()).await.is_ok();
+        let ended = timeout(BAD_PEER_TIMEOUT, stream.fill()).await.is_ok();
         let ended_after = ended.then(|| began.elapsed());
         self.trace.record(Event::BadPeer { gateway, ended_after });
     }
 
-    /// Sends many requests at once over one connection, and leaves at once.
+    /// Sends several requests at once over one connection and closes it within 40 ms without reading an answer.
     async fn flood(&self, gateway: usize, mut random: Rng) {
-        let Some(mut stream) = self.open(gateway).await else { return };
+        let Some(mut stream) = self.connect(gateway).await else { return };
         let mut bytes = Vec::new();
         let mut ids = Vec::new();
         for _ in 0..random.usize(2..12) {
-            let (id, head) = self.some_request(gateway, 64);
+            let (id, head) = self.usual_request_head(gateway, 64);
             bytes.extend_from_slice(head.as_bytes());
             bytes.extend_from_slice(&[b'f'; 64]);
             ids.push(id);
@@ -444,30 +471,35 @@
         ids.into_iter().for_each(|id| self.trace.record(Event::ClientLeft { id }));
     }
 
-    /// Clients that rest on a connection just as long as a gateway keeps one, and ask then.
-    pub async fn resters(self: Arc<Self>, rest: Duration, seed: u64) {
+    /// Runs clients that send a request over a connection that was idle for `idle_time` or slightly longer, until
+    /// `well_formed_only` is set. Near a gateway's idle timeout, the request may
+    /// cross the close of the connection.
+    pub async fn run_idle_reuse(self: Arc<Self>, idle_time: Duration, seed: u64) {
         let mut random = Rng::with_seed(seed);
-        while !self.proper_only.load(Ordering::Relaxed) {
-            let gateway = random.usize(..self.gates.len());
+        while !self.well_formed_only.load(Ordering::Relaxed) {
+            let gateway = random.usize(..self.gateways.len());
             sleep(Duration::from_millis(random.u64(20..200))).await;
-            if !self.may_open(gateway) {
+            if !self.may_connect(gateway) {
                 continue;
             }
             let (clients, seed) = (self.clone(), random.u64(..));
-            tokio::spawn(async move { clients.rest(gateway, rest, Rng::with_seed(seed)).await });
+            tokio::spawn(
+                async move { clients.send_after_idle(gateway, idle_time, Rng::with_seed(seed)).await },
+            );
         }
     }
 
-    async fn rest(&self, gateway: usize, rest: Duration, mut random: Rng) {
-        let Some((stream, _)) = self.connection(gateway, &mut random).await else { return };
-        let off = Duration::from_millis(random.u64(..110));
-        sleep(rest + off).await;
-        let planned = Planned {
+    /// Sends a request over a connection that was idle for `idle_time` and up to 110 ms.
+    async fn send_after_idle(&self, gateway: usize, idle_time: Duration, mut random: Rng) {
+        let Some((stream, _)) = self.reuse_or_connect(gateway, &mut random).await else { return };
+        let jitter = Duration::from_millis(random.u64(..110));
+        sleep(idle_time + jitter).await;
+        let planned = PlannedRequest {
             gateway,
             customer: 100 + random.u64(..self.scenario.traffic.usual_customers),
             effect: Effect::Unsafe,
             units: 1,
-            manner: Manner::Rests,
+            behavior: Behavior::ReusesIdle,
         };
         self.send(&planned, stream, &mut random).await;
     }
@@ -477,9 +509,9 @@
     matches!(e.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe)
 }
 
-/// Whether a connection that was closed had unread bytes: a reset follows the close then.
-async fn how_closed(stream: &mut PlainStream) -> ClientEnd {
-    sleep(RESET_FOLLOWS).await;
+/// Tells a close over unread bytes, which a reset follows, from one after the request was read.
+async fn classify_close(stream: &mut PlainStream) -> ClientEnd {
+    sleep(RESET_WAIT).await;
     match stream.stream.take_error() {
         Ok(Some(e)) if is_reset(&e) => ClientEnd::Unread,
         _ => ClientEnd::Closed,
--- a/soak/src/coverage.rs
+++ b/soak/src/coverage.rs
@@ -1,4 +1,4 @@
-//! Which troubles have met.
+//! Counts which kinds of trouble have overlapped in the runs so far.
 
 use crate::scenario::Scenario;
 use crate::trouble::TroubleKind;
@@ -6,21 +6,22 @@
 use std::fmt;
 use std::time::Duration;
 
-/// Edges this close count as a meeting.
-const SLACK: Duration = Duration::from_millis(300);
+/// Troubles count as overlapping when the gap between them is shorter than this.
+const OVERLAP_SLACK: Duration = Duration::from_millis(300);
 
-/// How often each pair of troubles was there at the same time, and in how many of these runs an invariant broke.
+/// How often each pair of kinds of trouble overlapped, and how often that was in a run in which an invariant broke.
 #[derive(Default)]
 pub struct Coverage {
+    /// Overlaps of each pair, the lesser kind first: all of them, and those in broken runs.
     pairs: BTreeMap<(TroubleKind, TroubleKind), (u32, u32)>,
 }
 
 impl Coverage {
-    /// Takes in a run.
-    pub fn note(&mut self, scenario: &Scenario, broke: bool) {
+    /// Adds the overlaps of one run; `broke` tells whether an invariant broke in it.
+    pub fn record(&mut self, scenario: &Scenario, broke: bool) {
         let troubles = &scenario.troubles;
-        for (place, one) in troubles.iter().enumerate() {
-            for other in troubles[..place].iter().filter(|other| other.overlaps(one, SLACK)) {
+        for (index, one) in troubles.iter().enumerate() {
+            for other in troubles[..index].iter().filter(|other| other.overlaps(one, OVERLAP_SLACK)) {
                 let pair = (one.kind.min(other.kind), one.kind.max(other.kind));
                 let count = self.pairs.entry(pair).or_default();
                 count.0 += 1;
@@ -32,21 +33,28 @@
 
 impl fmt::Display for Coverage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "| trouble | met with (times, of these in runs that broke) | never met with |")?;
+        writeln!(
+            f,
+            "| trouble | overlapped with (times, of these in broken runs) | never overlapped with |"
+        )?;
         writeln!(f, "| --- | --- | --- |")?;
         for kind in TroubleKind::ALL {
-            let (mut met, mut never) = (Vec::new(), Vec::new());
+            let (mut overlapped, mut never) = (Vec::new(), Vec::new());
             for other in TroubleKind::ALL {
                 match self.pairs.get(&(kind.min(other), kind.max(other))) {
-                    Some((times, 0)) => met.push(format!("{} {times}", other.name())),
-                    Some((times, broke)) => met.push(format!("{} {times}, {broke}", other.name())),
+                    Some((times, 0)) => overlapped.push(format!("{} {times}", other.name())),
+                    Some((times, broke)) => overlapped.push(format!("{} {times}, {broke}", other.name())),
                     None => never.push(other.name()),
                 }
             }
-            let never = if met.is_empty() { "all: it was not drawn".to_owned() } else { never.join(" ") };
-            writeln!(f, "| {} | {} | {never} |", kind.name(), met.join("; "))?;
+            let never = if overlapped.is_empty() {
+                "all: no overlap, or not drawn".to_owned()
+            } else {
+                never.join(" ")
+            };
+            writeln!(f, "| {} | {} | {never} |", kind.name(), overlapped.join("; "))?;
         }
         let possible = TroubleKind::ALL.len() * (TroubleKind::ALL.len() + 1) / 2;
-        write!(f, "\n{} of {possible} pairs met", self.pairs.len())
+        write!(f, "\n{} of {possible} pairs overlapped", self.pairs.len())
     }
 }
--- a/soak/src/director.rs
+++ b/soak/src/director.rs
@@ -1,4 +1,4 @@
-//! Makes the troubles happen.
+//! Applies the troubles of a run to the gateways, the stand-ins and the clients.
 
 use crate::client::Admission;
 use crate::gateway::GatewayHost;
@@ -19,49 +19,53 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{sleep, Instant};
 
-/// Part of the calls, in a thousand, that fail for a moment.
-const SOME_CALLS: u32 = 200;
-/// The same where a machine has run out of something.
-const MANY_CALLS: u32 = 500;
-/// A backend that dies is gone for so long at the least.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
+/// System calls that fail for a while, in a thousand.
+const SOME_PER_MILLE: u32 = 200;
+/// System calls that fail while a machine has run out of a resource, in a thousand.
+const MANY_PER_MILLE: u32 = 500;
+/// The minimum time between the end of a drained backend and its next start.
+const MIN_RESTART_PAUSE: Duration = Duration::from_millis(200);
 
 fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.as_millis() as u64
 }
 
-/// Plays one trouble from its beginning to its end, both of which are recorded.
-pub async fn play(world: Arc<World>, place: usize, trouble: Trouble) {
-    sleep(trouble.begins).await;
-    world.trace.record(Event::TroubleBegan(place));
-    let ends = Instant::now() + trouble.lasts;
-    let mut scene = Scene { world: &world, trouble: &trouble, ends, random: Rng::with_seed(trouble.lot) };
-    if let Err(e) = scene.play().await {
-        eprintln!("trouble {}: {e:#}", trouble.kind.name());
-    }
-    world.trace.record(Event::TroubleEnded(place));
+/// Applies one trouble from its start to its end and records both. `index` is its place in the scenario. An error of
+/// the trouble is written to the standard error.
+pub async fn apply(world: Arc<World>, index: usize, trouble: Trouble) {
+    sleep(trouble.start).await;
+    world.trace.record(Event::TroubleBegan(index));
+    let end = Instant::now() + trouble.duration;
+    let mut run = TroubleRun { world: &world, trouble: &trouble, end, random: Rng::with_seed(trouble.seed) };
+    if let Err(e) = run.execute().await {
+        eprintln!("trouble {} failed: {e:#}", trouble.kind.name());
+    }
+    world.trace.record(Event::TroubleEnded(index));
 }
 
-struct Scene<'a> {
+/// A trouble while it is applied.
+struct TroubleRun<'a> {
     world: &'a World,
     trouble: &'a Trouble,
-    ends: Instant,
+    end: Instant,
     random: Rng,
 }
 
-impl Scene<'_> {
+impl TroubleRun<'_> {
+    /// The gateway that the trouble was drawn for.
     fn gateway(&self) -> &GatewayHost {
         &self.world.gateways[self.trouble.gateway]
     }
 
-    /// The gateway that it happens to, or the next one that the platform holds the socket of.
+    /// That gateway, or the next one whose listening socket is held by the platform.
     fn platform_gateway(&self) -> &GatewayHost {
         let count = self.world.gateways.len();
-        let places = (0..count).map(|n| &self.world.gateways[(self.trouble.gateway + n) % count]);
-        places.into_iter().find(|gateway| gateway.on_platform()).unwrap_or(self.gateway())
+        let candidates = (0..count).map(|n| &self.world.gateways[(self.trouble.gateway + n) % count]);
+        candidates.into_iter().find(|gateway| gateway.has_platform_listener()).unwrap_or(self.gateway())
     }
 
+    /// The indices of the gateways that are affected.
     fn gateways(&self) -> Vec<usize> {
         match self.trouble.wide {
             true => (0..self.world.gateways.len()).collect(),
@@ -69,25 +73,28 @@
         }
     }
 
+    /// The indices of the backends that are affected.
     fn backends(&self) -> Vec<usize> {
         let count = self.world.backends.len();
-        let wide = if self.trouble.wide { count / 3 } else { 1 };
-        (0..wide.max(1)).map(|n| (self.trouble.backend + n) % count).collect()
+        let affected = if self.trouble.wide { count / 3 } else { 1 };
+        (0..affected.max(1)).map(|n| (self.trouble.backend + n) % count).collect()
     }
 
+    /// The running processes of the affected gateways.
     fn processes(&self) -> Vec<Arc<Process>> {
         self.gateways().into_iter().flat_map(|gateway| self.world.gateways[gateway].running()).collect()
     }
 
-    async fn until_end(&self) {
-        tokio::time::sleep_until(self.ends).await;
+    async fn wait_for_end(&self) {
+        tokio::time::sleep_until(self.end).await;
     }
 
-    fn some_ms(&mut self, most: u64) -> Duration {
-        Duration::from_millis(self.random.u64(..=most))
+    /// Draws a time of 0 to `max` milliseconds.
+    fn random_ms(&mut self, max: u64) -> Duration {
+        Duration::from_millis(self.random.u64(..=max))
     }
 
-    async fn play(&mut self) -> anyhow::Result<()> {
+    async fn execute(&mut self) -> anyhow::Result<()> {
         match self.trouble.kind {
             TroubleKind::Terminate => self.gateway().restart(self.world).await?,
             TroubleKind::Kill => self.kill(|_| {}).await?,
@@ -100,86 +107,99 @@
             TroubleKind::OperatorDrain => self.operator_drain().await,
             TroubleKind::WallClock => self.wall_clock().await?,
             TroubleKind::StartFails => self.start_fails().await?,
-            TroubleKind::AcceptFails => self.calls_fail(FaultPoint::Accept, SOME_CALLS).await,
-            TroubleKind::SocketFails => self.calls_fail(FaultPoint::Socket, MANY_CALLS).await,
-            TroubleKind::ConnectFails => self.calls_fail(FaultPoint::Connect, MANY_CALLS).await,
-            TroubleKind::Interrupted => self.interrupted().await,
-            TroubleKind::ShortReads => self.calls_fail(FaultPoint::ShortReceive, SOME_CALLS).await,
-            TroubleKind::ShortWrites => self.calls_fail(FaultPoint::ShortSend, SOME_CALLS).await,
-            TroubleKind::PathBreaks => self.calls_fail(FaultPoint::Receive, SOME_CALLS / 10).await,
-            TroubleKind::LogFull => self.calls_fail(FaultPoint::Log, 1000).await,
-            TroubleKind::LogStalls | TroubleKind::LogCloses => self.log().await,
-            TroubleKind::LinkSilent => self.links(LinkMode::Silent).await,
-            TroubleKind::LinkOneWay => self.links(LinkMode::AnswersHeld).await,
+            TroubleKind::AcceptFails => self.fail_calls(FaultPoint::Accept, SOME_PER_MILLE).await,
+            TroubleKind::SocketFails => self.fail_calls(FaultPoint::Socket, MANY_PER_MILLE).await,
+            TroubleKind::ConnectFails => self.fail_calls(FaultPoint::Connect, MANY_PER_MILLE).await,
+            TroubleKind::Interrupted => self.interrupt_calls().await,
+            TroubleKind::ShortReads => self.fail_calls(FaultPoint::ShortReceive, SOME_PER_MILLE).await,
+            TroubleKind::ShortWrites => self.fail_calls(FaultPoint::ShortSend, SOME_PER_MILLE).await,
+            TroubleKind::PathBreaks => self.fail_calls(FaultPoint::Receive, SOME_PER_MILLE / 10).await,
+            TroubleKind::LogFull => self.fail_calls(FaultPoint::Log, 1000).await,
+            TroubleKind::LogStalls | TroubleKind::LogCloses => self.disturb_log().await,
+            TroubleKind::LinkSilent => self.set_links(LinkMode::Silent).await,
+            TroubleKind::LinkOneWay => self.set_links(LinkMode::AnswersHeld).await,
             TroubleKind::LinkDelays => {
-                let by = Duration::from_millis(20) + self.some_ms(300);
-                self.links(LinkMode::Delayed(by)).await;
+                let delay = Duration::from_millis(20) + self.random_ms(300);
+                self.set_links(LinkMode::Delayed(delay)).await;
             }
-            TroubleKind::LinkResets => self.link_resets().await,
-            TroubleKind::DiscoverySilent => self.discovery(DiscoveryMode::Silent).await,
-            TroubleKind::DiscoveryCrowded => self.discovery(DiscoveryMode::Crowded).await,
-            TroubleKind::DiscoveryWholeLists => self.discovery(DiscoveryMode::WholeLists).await,
+            TroubleKind::LinkResets => self.reset_links().await,
+            TroubleKind::DiscoverySilent => self.set_discovery(DiscoveryMode::Silent).await,
+            TroubleKind::DiscoveryCrowded => self.set_discovery(DiscoveryMode::Crowded).await,
+            TroubleKind::DiscoveryWholeLists => self.set_discovery(DiscoveryMode::WholeLists).await,
             TroubleKind::DiscoverySlow => {
-                let by = if self.world.scenario.settings.pushed { 60 } else { 700 };
-                let by = self.some_ms(by);
-                self.discovery(DiscoveryMode::Slow(by)).await;
+                let max_delay = if self.world.scenario.settings.pushed { 60 } else { 700 };
+                let delay = self.random_ms(max_delay);
+                self.set_discovery(DiscoveryMode::Slow(delay)).await;
             }
             TroubleKind::DiscoveryDown => self.discovery_down().await,
             TroubleKind::CounterAway => self.counter_away().await,
             TroubleKind::CounterSlow => {
-                let by = Duration::from_millis(self.world.scenario.settings.counter_timeout_ms) / 2;
-                self.counter(CounterMode::Slow(by)).await;
+                let delay = Duration::from_millis(self.world.scenario.settings.counter_timeout_ms) / 2;
+                self.set_counter(CounterMode::Slow(delay)).await;
             }
             TroubleKind::CounterLate => {
-                let by = Duration::from_millis(self.world.scenario.settings.counter_timeout_ms)
-                    + self.some_ms(200);
-                self.counter(CounterMode::Slow(by)).await;
+                let delay = Duration::from_millis(self.world.scenario.settings.counter_timeout_ms)
+                    + self.random_ms(200);
+                self.set_counter(CounterMode::Slow(delay)).await;
             }
-            TroubleKind::CounterSilent => self.counter(CounterMode::Silent).await,
-            TroubleKind::BackendHangs => self.backend_mode(BackendMode::Hangs).await,
-            TroubleKind::BackendResets => self.backend_mode(BackendMode::Resets).await,
-            TroubleKind::BackendErrs => self.backend_mode(BackendMode::Errs).await,
+            TroubleKind::CounterSilent => self.set_counter(CounterMode::Silent).await,
+            TroubleKind::BackendHangs => self.set_backends(BackendMode::Hangs).await,
+            TroubleKind::BackendResets => self.set_backends(BackendMode::Resets).await,
+            TroubleKind::BackendErrs => self.set_backends(BackendMode::Errs).await,
             TroubleKind::BackendClosesIdle => self.backend_closes_idle().await,
             TroubleKind::BackendConnectsLate => self.backend_connects_late().await,
             TroubleKind::BackendDrains => self.backend_drains().await,
             TroubleKind::BackendRestarts => self.backend_restarts().await,
-            TroubleKind::ClientsLeave => self.mood(&self.world.clients.moods.leave, 250).await,
-            TroubleKind::ClientsStop => self.mood(&self.world.clients.moods.stop, 700).await,
-            TroubleKind::ClientsFlood => self.mood(&self.world.clients.moods.flood, 700).await,
-            TroubleKind::ClientsHurry => self.mood(&self.world.clients.moods.hurry, 300).await,
-            TroubleKind::ClientsLongBodies => self.mood(&self.world.clients.moods.long, 150).await,
+            TroubleKind::ClientsLeave => {
+                self.set_rate(&self.world.clients.behavior_rates.leave_per_mille, 250).await
+            }
+            TroubleKind::ClientsStop => {
+                self.set_rate(&self.world.clients.behavior_rates.stop_per_mille, 700).await
+            }
+            TroubleKind::ClientsFlood => {
+                self.set_rate(&self.world.clients.behavior_rates.flood_per_mille, 700).await
+            }
+            TroubleKind::ClientsHurry => {
+                self.set_rate(&self.world.clients.behavior_rates.hurry_per_mille, 300).await
+            }
+            TroubleKind::ClientsLongBodies => {
+                self.set_rate(&self.world.clients.behavior_rates.long_bodies_per_mille, 150).await
+            }
         }
         Ok(())
     }
 
+    /// Kills the processes of the gateway and starts a new one after a pause.
     async fn kill(&mut self, prepare: impl FnOnce(&crate::shim::ShimControl)) -> anyhow::Result<()> {
-        let pause = self.some_ms(400);
-        let Ok(_held) = self.gateway().lifecycle.try_lock() else { return Ok(()) };
+        let pause = self.random_ms(400);
+        let Ok(_guard) = self.gateway().lifecycle.try_lock() else { return Ok(()) };
         self.gateway().running().iter().for_each(|process| process.kill());
         sleep(pause).await;
-        self.gateway().come_back(self.world, prepare).await
+        self.gateway().start_and_admit(self.world, prepare).await
     }
 
+    /// Reloads the configuration three times in a row.
     async fn reload(&mut self) -> anyhow::Result<()> {
         for _ in 0..3 {
             for gateway in self.gateways() {
                 self.world.gateways[gateway].reload(self.world).await?;
             }
-            sleep(self.some_ms(120)).await;
+            sleep(self.random_ms(120)).await;
         }
         Ok(())
     }
 
+    /// Sends SIGHUP and SIGTERM within 30 ms, in either order, and replaces the process.
     async fn reload_and_terminate(&mut self) -> anyhow::Result<()> {
-        let (first, pause) = (self.random.bool(), self.some_ms(30));
+        let (reload_first, pause) = (self.random.bool(), self.random_ms(30));
         let reload = async {
-            if !first {
+            if !reload_first {
                 sleep(pause).await;
             }
             self.gateway().reload(self.world).await
         };
         let restart = async {
-            if first {
+            if reload_first {
                 sleep(pause).await;
             }
             self.gateway().restart(self.world).await
@@ -188,9 +208,10 @@
         reloaded.and(restarted)
     }
 
+    /// Stops the processes for 50 to 140 ms, again and again.
     async fn pause(&mut self) {
-        while Instant::now() < self.ends {
-            let lasted = Duration::from_millis(50) + self.some_ms(90);
+        while Instant::now() < self.end {
+            let lasted = Duration::from_millis(50) + self.random_ms(90);
             let processes = self.processes();
             processes.iter().for_each(|process| process.signal(Signal::SIGSTOP));
             sleep(lasted).await;
@@ -198,97 +219,105 @@
             for gateway in self.gateways() {
                 self.world.trace.record(Event::Paused { gateway, lasted });
             }
-            sleep(Duration::from_millis(100) + self.some_ms(200)).await;
+            sleep(Duration::from_millis(100) + self.random_ms(200)).await;
         }
     }
 
     async fn upgrade(&mut self) -> anyhow::Result<()> {
         let gateway = self.platform_gateway();
-        let Ok(_held) = gateway.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_guard) = gateway.lifecycle.try_lock() else { return Ok(()) };
         gateway.upgrade(self.world).await
     }
 
+    /// Kills a new process while it takes over, and then upgrades with another one.
     async fn failed_upgrade(&mut self) -> anyhow::Result<()> {
-        let (lives, pause) = (self.some_ms(1_500), self.some_ms(300));
+        let (lifetime, pause) = (self.random_ms(1_500), self.random_ms(300));
         let gateway = self.platform_gateway();
-        let Ok(_held) = gateway.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_guard) = gateway.lifecycle.try_lock() else { return Ok(()) };
         let new = gateway.start(self.world, |_| {})?;
-        sleep(lives).await;
+        sleep(lifetime).await;
         new.kill();
-        new.exit_within(Duration::from_secs(1)).await;
+        new.wait_for_exit(Duration::from_secs(1)).await;
         sleep(pause).await;
         gateway.upgrade(self.world).await
     }
 
+    /// Has an operator disable a backend at the gateway and enable it again at the end.
     async fn ban(&mut self) {
-        let pause = self.some_ms(500);
+        let pause = self.random_ms(500);
         let (gateway, backend) = (self.gateway(), self.trouble.backend);
-        self.tell_ban(gateway, backend, true).await;
-        self.until_end().await;
-        // An upgrade goes on with it; the call back goes to whoever serves then.
-        let _held = gateway.lifecycle.lock().await;
+        self.set_ban(gateway, backend, true).await;
+        self.wait_for_end().await;
+        // The ban is handed over in an upgrade, so the backend is enabled at the process that serves after the upgrade.
+        let _guard = gateway.lifecycle.lock().await;
         sleep(pause).await;
-        self.tell_ban(gateway, backend, false).await;
+        self.set_ban(gateway, backend, false).await;
     }
 
-    async fn tell_ban(&self, gateway: &GatewayHost, backend: usize, out: bool) {
+    /// Calls the gateway's operators' server to disable or enable a backend, and records that.
+    async fn set_ban(&self, gateway: &GatewayHost, backend: usize, out: bool) {
         let Some(process) = gateway.current() else { return };
         let call = if out { "disable" } else { "enable" };
         let target = format!("/backends/{call}?id={}", backend_name(backend));
-        let before = Event::Banned { gateway: gateway.index, backend, out };
+        let event = Event::Banned { gateway: gateway.index, backend, out };
         if !out {
-            // From the call on it may be used again.
-            self.world.trace.record(before.clone());
+            // The backend may be used again as soon as the call is sent.
+            self.world.trace.record(event.clone());
         }
-        let answer = process.call("PUT", &target).await;
+        let answer = process.call_operator_api("PUT", &target).await;
         if out && answer.is_some_and(|(status, _)| status == 200) {
-            self.world.trace.record(before);
+            self.world.trace.record(event);
         }
     }
 
+    /// Has an operator drain the gateway, and end the drain at the end of the trouble.
     async fn operator_drain(&mut self) {
         let gateway = self.gateway();
-        let Ok(_held) = gateway.lifecycle.try_lock() else { return };
+        let Ok(_guard) = gateway.lifecycle.try_lock() else { return };
         let Some(process) = gateway.current() else { return };
-        process.call("PUT", "/drain").await;
+        process.call_operator_api("PUT", "/drain").await;
         sleep(Duration::from_millis(200)).await;
-        self.world.clients.admit(gateway.index, Admission::KeptConnections);
-        self.until_end().await;
-        process.call("PUT", "/undrain").await;
-        if process.ready().await {
+        self.world.clients.admit(gateway.index, Admission::ExistingConnections);
+        self.wait_for_end().await;
+        process.call_operator_api("PUT", "/undrain").await;
+        if process.wait_until_ready().await {
             self.world.clients.admit(gateway.index, Admission::Open);
         }
     }
 
+    /// Kills the gateway and starts it with a wall clock that is wrong.
     async fn wall_clock(&mut self) -> anyhow::Result<()> {
+        /// In microseconds.
         const SECOND: i64 = 1_000_000;
-        let steps = [-3600 * SECOND, -7 * SECOND, 7 * SECOND, 3600 * SECOND];
-        let step = steps[self.random.usize(..steps.len())];
-        self.kill(|shim| shim.step_wall_clock(step)).await
+        let offsets_us = [-3600 * SECOND, -7 * SECOND, 7 * SECOND, 3600 * SECOND];
+        let offset_us = offsets_us[self.random.usize(..offsets_us.len())];
+        self.kill(|shim| shim.step_wall_clock(offset_us)).await
     }
 
+    /// Kills the gateway and starts it while `socket` and `bind` fail, until the end of the trouble.
     async fn start_fails(&mut self) -> anyhow::Result<()> {
-        let pause = self.some_ms(300);
+        let pause = self.random_ms(300);
         let gateway = self.gateway();
-        let Ok(_held) = gateway.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_guard) = gateway.lifecycle.try_lock() else { return Ok(()) };
         gateway.running().iter().for_each(|process| process.kill());
         sleep(pause).await;
         let fail = |shim: &crate::shim::ShimControl| {
-            shim.set(FaultPoint::Socket, MANY_CALLS, libc::ENFILE);
-            shim.set(FaultPoint::Bind, MANY_CALLS, libc::EADDRINUSE);
+            shim.set(FaultPoint::Socket, MANY_PER_MILLE, libc::ENFILE);
+            shim.set(FaultPoint::Bind, MANY_PER_MILLE, libc::EADDRINUSE);
         };
-        let heal = async {
-            self.until_end().await;
+        let restore = async {
+            self.wait_for_end().await;
             for process in gateway.running() {
                 process.shim.set(FaultPoint::Socket, 0, 0);
                 process.shim.set(FaultPoint::Bind, 0, 0);
             }
         };
-        let (came, ()) = tokio::join!(gateway.come_back(self.world, fail), heal);
-        came
+        let (started, ()) = tokio::join!(gateway.start_and_admit(self.world, fail), restore);
+        started
     }
 
-    async fn calls_fail(&mut self, point: FaultPoint, per_mille: u32) {
+    /// Makes `per_mille` in a thousand calls fail with one error that is drawn from those that fit the call.
+    async fn fail_calls(&mut self, point: FaultPoint, per_mille: u32) {
         let errors: &[i32] = match point {
             FaultPoint::Accept => &[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EMFILE],
             FaultPoint::Socket => &[libc::ENFILE, libc::ENOBUFS],
@@ -300,34 +329,37 @@
         let errno = errors[self.random.usize(..errors.len())];
         let processes = self.processes();
         processes.iter().for_each(|process| process.shim.set(point, per_mille, errno));
-        self.until_end().await;
+        self.wait_for_end().await;
         processes.iter().for_each(|process| process.shim.set(point, 0, 0));
     }
 
-    async fn interrupted(&mut self) {
+    /// Makes receiving, sending and waiting calls fail with EINTR.
+    async fn interrupt_calls(&mut self) {
         let points = [FaultPoint::Receive, FaultPoint::Send, FaultPoint::Wait];
         let processes = self.processes();
         for process in &processes {
-            points.iter().for_each(|point| process.shim.set(*point, SOME_CALLS, libc::EINTR));
+            points.iter().for_each(|point| process.shim.set(*point, SOME_PER_MILLE, libc::EINTR));
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         for process in &processes {
             points.iter().for_each(|point| process.shim.set(*point, 0, 0));
         }
     }
 
-    async fn log(&mut self) {
+    /// Stops reading the log, or closes the reading end, which stays closed.
+    async fn disturb_log(&mut self) {
         let processes = self.processes();
         let closes = self.trouble.kind == TroubleKind::LogCloses;
         for process in &processes {
             let flag = if closes { &process.log.closed } else { &process.log.stalled };
             flag.store(true, Ordering::Relaxed);
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         processes.iter().for_each(|process| process.log.stalled.store(false, Ordering::Relaxed));
     }
 
-    async fn links(&mut self, mode: LinkMode) {
+    /// Sets the mode of the affected links, and opens them at the end.
+    async fn set_links(&mut self, mode: LinkMode) {
         let set = |mode| {
             for backend in self.backends() {
                 let links =
@@ -336,105 +368,111 @@
             }
         };
         set(mode);
-        self.until_end().await;
+        self.wait_for_end().await;
         set(LinkMode::Open);
     }
 
-    async fn link_resets(&mut self) {
-        while Instant::now() < self.ends {
+    async fn reset_links(&mut self) {
+        while Instant::now() < self.end {
             for backend in self.backends() {
                 for gateway in self.gateways() {
                     self.world.backends[backend].link(gateway).reset();
                 }
             }
-            sleep(Duration::from_millis(50) + self.some_ms(200)).await;
+            sleep(Duration::from_millis(50) + self.random_ms(200)).await;
         }
     }
 
-    async fn discovery(&mut self, mode: DiscoveryMode) {
+    /// Sets how discovery answers, until the end of the trouble.
+    async fn set_discovery(&mut self, mode: DiscoveryMode) {
         let gateways = self.gateways();
         gateways.iter().for_each(|gateway| self.world.discovery.set(*gateway, mode));
-        self.until_end().await;
+        self.wait_for_end().await;
         gateways.iter().for_each(|gateway| self.world.discovery.set(*gateway, DiscoveryMode::Well));
     }
 
     async fn discovery_down(&mut self) {
         let gateways = self.gateways();
         gateways.iter().for_each(|gateway| self.world.discovery.set_open(*gateway, false));
-        self.until_end().await;
+        self.wait_for_end().await;
         gateways.iter().for_each(|gateway| self.world.discovery.set_open(*gateway, true));
     }
 
-    async fn counter(&mut self, mode: CounterMode) {
+    /// Sets how the counter answers, until the end of the trouble.
+    async fn set_counter(&mut self, mode: CounterMode) {
         let gateways = self.gateways();
         gateways.iter().for_each(|gateway| self.world.counter.set(*gateway, mode));
-        self.until_end().await;
+        self.wait_for_end().await;
         gateways.iter().for_each(|gateway| self.world.counter.set(*gateway, CounterMode::Well));
     }
 
     async fn counter_away(&mut self) {
         let gateways = self.gateways();
         gateways.iter().for_each(|gateway| self.world.counter.set_open(*gateway, false));
-        self.until_end().await;
+        self.wait_for_end().await;
         gateways.iter().for_each(|gateway| self.world.counter.set_open(*gateway, true));
     }
 
-    async fn backend_mode(&mut self, mode: BackendMode) {
+    /// Sets how the affected backends work, until the end of the trouble.
+    async fn set_backends(&mut self, mode: BackendMode) {
         for backend in self.backends() {
             self.world.backends[backend].set(mode);
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         for backend in self.backends() {
             self.world.backends[backend].set(BackendMode::Well);
         }
     }
 
     async fn backend_closes_idle(&mut self) {
-        let idle = Duration::from_millis(5) + self.some_ms(150);
+        let idle = Duration::from_millis(5) + self.random_ms(150);
         for backend in self.backends() {
             self.world.backends[backend].close_idle_after(Some(idle));
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         for backend in self.backends() {
             self.world.backends[backend].close_idle_after(None);
         }
     }
 
+    /// Fills the accept queues of the affected backends, so that connections are established late or not at all.
     async fn backend_connects_late(&mut self) {
         for backend in self.backends() {
             self.world.backends[backend].set_stuck(true);
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         for backend in self.backends() {
             self.world.backends[backend].set_stuck(false);
         }
     }
 
+    /// Drains a backend, removes it at the end, and starts it again after a pause.
     async fn backend_drains(&mut self) {
         let (world, backend) = (self.world, self.trouble.backend);
-        let Ok(_held) = world.backend_lifecycles[backend].try_lock() else { return };
+        let Ok(_guard) = world.backend_lifecycles[backend].try_lock() else { return };
         let since = world.discovery.registry.since_ms(backend);
         world.discovery.registry.publish(backend, ToldState::Draining, since);
         if self.random.bool() {
             world.backends[backend].set(BackendMode::TurnsAway);
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         world.discovery.registry.publish(backend, ToldState::Gone, since);
         world.backends[backend].die();
-        sleep(RESTART_PAUSE + self.some_ms(400)).await;
+        sleep(MIN_RESTART_PAUSE + self.random_ms(400)).await;
         self.start_backend(backend);
     }
 
+    /// Stops a backend and starts it again at the end. Discovery learns of the stop in half of the cases.
     async fn backend_restarts(&mut self) {
         let (world, backend) = (self.world, self.trouble.backend);
-        let Ok(_held) = world.backend_lifecycles[backend].try_lock() else { return };
+        let Ok(_guard) = world.backend_lifecycles[backend].try_lock() else { return };
         let since = world.discovery.registry.since_ms(backend);
         world.backends[backend].die();
         if self.random.bool() {
-            sleep(self.some_ms(300)).await;
+            sleep(self.random_ms(300)).await;
             world.discovery.registry.publish(backend, ToldState::Gone, since);
         }
-        self.until_end().await;
+        self.wait_for_end().await;
         self.start_backend(backend);
     }
 
@@ -443,9 +481,10 @@
         self.world.discovery.registry.publish(backend, ToldState::Serving, unix_ms());
     }
 
-    async fn mood(&self, mood: &AtomicU32, per_mille: u32) {
-        mood.store(per_mille, Ordering::Relaxed);
-        self.until_end().await;
-        mood.store(0, Ordering::Relaxed);
+    /// Sets how often clients behave in one way, until the end of the trouble.
+    async fn set_rate(&self, rate: &AtomicU32, per_mille: u32) {
+        rate.store(per_mille, Ordering::Relaxed);
+        self.wait_for_end().await;
+        rate.store(0, Ordering::Relaxed);
     }
 }
--- a/soak/src/gateway.rs
+++ b/soak/src/gateway.rs
@@ -1,7 +1,7 @@
-//! A gateway's place on the platform: its address, its folder and the processes that serve there.
+//! A gateway as the platform runs it: its address, its folder, its configuration and its successive processes.
 
 use crate::client::{Admission, Clients};
-use crate::process::{Launch, Places, Process};
+use crate::process::{Launch, Process, ProcessPaths};
 use crate::shim::ShimControl;
 use crate::stand_in::counter::Counter;
 use crate::stand_in::discovery::Discovery;
@@ -16,24 +16,25 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// Where clients connect.
+/// The port that clients connect to.
 const CLIENT_PORT: u16 = 8081;
-/// Operators' ports begin here, one for each process.
+/// The operators' port of a gateway's first process; each later process gets the next port.
 const FIRST_OPS_PORT: u16 = 9001;
-/// After SIGTERM new connections go on coming for so long.
-const FRONT_NOTICES: Duration = Duration::from_millis(250);
-/// SIGKILL comes so long after the longest deadline, counted as this at most.
-const KILL_AFTER: Duration = Duration::from_millis(700);
-const LONGEST: Duration = Duration::from_secs(3);
-
-/// One gateway.
+/// The time after SIGTERM during which the front still opens new connections to the process.
+const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(250);
+/// The time from the longest deadline after SIGTERM to SIGKILL.
+const KILL_MARGIN: Duration = Duration::from_millis(700);
+/// Longer deadlines count as this when the time of SIGKILL is computed.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
+
+/// One gateway on the platform.
 pub struct GatewayHost {
-    /// Its place in the fleet.
+    /// The gateway's index in the fleet.
     pub index: GatewayIndex,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
     ip: IpAddr,
-    /// The clients' socket, where the platform holds it.
+    /// The listening socket for clients, if the platform holds it.
     listener: Option<TcpListener>,
     folder: PathBuf,
     config: PathBuf,
@@ -41,19 +42,22 @@
     limits: Value,
     seed: u64,
     next_ops_port: AtomicU16,
-    /// Held by whoever starts and ends its processes.
+    /// Held while the gateway's processes are started and stopped.
     pub lifecycle: tokio::sync::Mutex<()>,
-    /// All processes so far, the oldest first.
+    /// All processes so far, oldest first.
     processes: Mutex<Vec<Arc<Process>>>,
 }
 
 impl GatewayHost {
-    /// A place with no process yet.
+    /// Creates a gateway without a process. `platform` tells whether the platform holds its listening socket; `limits`
+    /// and `settings` are parts of its configuration.
+    ///
+    /// Fails if the address cannot be bound or the folder cannot be created.
     pub fn new(
         index: GatewayIndex,
         ip: IpAddr,
         platform: bool,
-        places: &Places,
+        places: &ProcessPaths,
         settings: Value,
         limits: Value,
         seed: u64,
@@ -78,8 +82,8 @@
         })
     }
 
-    /// Whether the platform holds its socket, so that one process can take over from another.
-    pub fn on_platform(&self) -> bool {
+    /// Whether the platform holds the listening socket, so that one process can take over from another.
+    pub fn has_platform_listener(&self) -> bool {
         self.listener.is_some()
     }
 
@@ -93,89 +97,93 @@
         Ok(std::fs::write(&self.config, config.to_string())?)
     }
 
-    /// Starts a process.
+    /// Writes the configuration and starts a process; `prepare` can make its system calls fail from the start.
     pub fn start(&self, world: &World, prepare: impl FnOnce(&ShimControl)) -> anyhow::Result<Arc<Process>> {
         self.write_config(&world.discovery, &world.counter)?;
         let port = self.next_ops_port.fetch_add(1, Ordering::Relaxed);
         let launch = Launch {
             gateway: self.index,
             listen: self.address,
-            inherited: self.listener.as_ref(),
+            inherited_listener: self.listener.as_ref(),
             ops: SocketAddr::new(self.ip, port),
             discovery: world.discovery.address(self.index),
             config: &self.config,
             folder: &self.folder,
         };
-        let process = Process::start(&world.places, &launch, world.trace.clone(), prepare)?;
-        self.lock().push(process.clone());
+        let process = Process::start(&world.paths, &launch, world.trace.clone(), prepare)?;
+        self.lock_processes().push(process.clone());
         Ok(process)
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Arc<Process>>> {
+    fn lock_processes(&self) -> std::sync::MutexGuard<'_, Vec<Arc<Process>>> {
         self.processes.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The processes that run, the oldest first.
+    /// The running processes, oldest first.
     pub fn running(&self) -> Vec<Arc<Process>> {
-        self.lock().iter().filter(|process| !process.has_exited()).cloned().collect()
+        self.lock_processes().iter().filter(|process| !process.has_exited()).cloned().collect()
     }
 
-    /// The process that operators call.
+    /// The process that operators call: the oldest running one.
     pub fn current(&self) -> Option<Arc<Process>> {
         self.running().first().cloned()
     }
 
-    /// All that its processes have logged.
+    /// The log lines of all processes of the gateway.
     pub fn logs(&self) -> Vec<String> {
-        self.lock().iter().flat_map(|process| process.log.lines()).collect()
+        self.lock_processes().iter().flat_map(|process| process.log.lines()).collect()
     }
 
-    /// How long after SIGTERM a process is killed.
-    fn kill_after(world: &World) -> Duration {
+    /// The time from SIGTERM to SIGKILL.
+    fn termination_timeout(world: &World) -> Duration {
         let longest = world.scenario.settings.deadlines_ms.iter().max().copied().unwrap_or(0);
-        Duration::from_millis(longest).min(LONGEST) + KILL_AFTER
+        Duration::from_millis(longest).min(MAX_COUNTED_DEADLINE) + KILL_MARGIN
     }
 
-    /// Ends a process as planned.
-    pub async fn end(&self, world: &World, process: &Process) {
+    /// Terminates a process, kills it if it does not exit in time, and waits for its exit.
+    pub async fn stop(&self, world: &World, process: &Process) {
         process.terminate();
-        process.exit_within(Self::kill_after(world)).await;
+        process.wait_for_exit(Self::termination_timeout(world)).await;
         process.kill();
-        process.exit_within(Duration::from_secs(5)).await;
+        process.wait_for_exit(Duration::from_secs(5)).await;
     }
 
-    /// A planned restart.
+    /// Replaces the current process: the front stops opening connections shortly after SIGTERM.
     pub async fn restart(&self, world: &World) -> anyhow::Result<()> {
-        let _held = self.lifecycle.lock().await;
+        let _guard = self.lifecycle.lock().await;
         let Some(process) = self.current() else { return Ok(()) };
         let clients = world.clients.clone();
-        tokio::spawn(close_gate(clients, self.index));
-        self.end(world, &process).await;
-        self.come_back(world, |_| {}).await
+        tokio::spawn(refuse_new_connections(clients, self.index));
+        self.stop(world, &process).await;
+        self.start_and_admit(world, |_| {}).await
     }
 
-    /// Starts a process behind one that is gone, and lets the clients in.
-    pub async fn come_back(&self, world: &World, prepare: impl FnOnce(&ShimControl)) -> anyhow::Result<()> {
+    /// Starts a process when no other one runs, and admits clients once it is ready.
+    pub async fn start_and_admit(
+        &self,
+        world: &World,
+        prepare: impl FnOnce(&ShimControl),
+    ) -> anyhow::Result<()> {
         world.clients.admit(self.index, Admission::Closed);
         world.clients.drop_connections(self.index);
         let process = self.start(world, prepare)?;
-        if process.ready().await {
+        if process.wait_until_ready().await {
             world.clients.admit(self.index, Admission::Open);
         }
         Ok(())
     }
 
-    /// Another process takes over.
+    /// Starts a process that takes over from the current one, which is stopped once the new one is ready.
     pub async fn upgrade(&self, world: &World) -> anyhow::Result<()> {
         let Some(old) = self.current() else { return Ok(()) };
         let new = self.start(world, |_| {})?;
-        if new.ready().await {
-            self.end(world, &old).await;
+        if new.wait_until_ready().await {
+            self.stop(world, &old).await;
         }
         Ok(())
     }
 
-    /// Replaces the configuration and says so.
+    /// Moves discovery and the counter to other addresses, writes the new configuration and sends SIGHUP.
     pub async fn reload(&self, world: &World) -> anyhow::Result<()> {
         world.discovery.relocate(self.index).await?;
         world.counter.relocate(self.index).await?;
@@ -185,7 +193,8 @@
     }
 }
 
-async fn close_gate(clients: Arc<Clients>, gateway: GatewayIndex) {
-    sleep(FRONT_NOTICES).await;
-    clients.admit(gateway, Admission::KeptConnections);
+/// Stops the front from opening connections to a gateway, after the delay with which it notices.
+async fn refuse_new_connections(clients: Arc<Clients>, gateway: GatewayIndex) {
+    sleep(FRONT_NOTICE_DELAY).await;
+    clients.admit(gateway, Admission::ExistingConnections);
 }
--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,4 +1,5 @@
-//! As much of HTTP/1.1 as the stand-ins and the clients speak, written apart from the gateway's.
+//! The subset of HTTP/1.1 that the stand-ins and the clients use. It shares no code with the gateway, so that a fault in
+//! the gateway's parser cannot hide behind the same fault here.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -6,66 +7,73 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// A head longer than this is none.
+/// Longer heads are rejected as malformed.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Something that bytes are read from through a buffer.
+/// A stream of bytes that is read through a buffer.
 pub trait Buffered {
-    /// What has been read and not been used.
+    /// The bytes that were read and are not yet consumed.
     fn buffer(&mut self) -> &mut Vec<u8>;
-    /// Reads more; 0 at the end.
+    /// Reads more bytes into the buffer and returns their number; 0 at the end of the stream.
     fn fill(&mut self) -> impl Future<Output = io::Result<usize>> + Send;
 }
 
-/// The head of a message.
+/// The head of a request or a response.
 #[derive(Debug)]
 pub struct Head {
-    /// Its first line.
-    pub line: String,
-    /// Its fields, by their names in small letters.
+    /// The request line or the status line.
+    pub start_line: String,
+    /// The header fields by their names in lower case.
     pub fields: HashMap<String, String>,
 }
 
 impl Head {
-    /// A field's value.
+    /// Returns the value of a header field; `name` is in lower case.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    /// A request's target.
+    /// Returns the target of a request; empty if the request line has none.
     pub fn target(&self) -> &str {
-        self.line.split(' ').nth(1).unwrap_or_default()
+        self.start_line.split(' ').nth(1).unwrap_or_default()
     }
 
-    /// An answer's status; 0 where it has none.
+    /// Returns the status of a response; 0 if the status line has no valid one.
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 }
 
-/// A value in the query of a target.
+/// Returns the value of a key in the query of a request target.
 pub fn query_value<'a>(target: &'a str, name: &str) -> Option<&'a str> {
     let (_, query) = target.split_once('?')?;
-    query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
+    query
+        .split('&')
+        .filter_map(|pair| pair.split_once('='))
+        .find(|(key, _)| *key == name)
+        .map(|(_, value)| value)
 }
 
 fn malformed(what: &'static str) -> io::Error {
     io::Error::new(io::ErrorKind::InvalidData, what)
 }
 
-/// Where the stream ended.
-fn ended() -> io::Error {
+/// The error for a stream that ended in the middle of a message.
+fn unexpected_eof() -> io::Error {
     io::ErrorKind::UnexpectedEof.into()
 }
 
-async fn more<S: Buffered>(from: &mut S) -> io::Result<()> {
+/// Reads more bytes; fails with `UnexpectedEof` at the end of the stream.
+async fn fill_or_eof<S: Buffered>(from: &mut S) -> io::Result<()> {
     if from.fill().await? == 0 {
-        return Err(ended());
+        return Err(unexpected_eof());
     }
     Ok(())
 }
 
-/// Reads a head; `None` where the stream ends before its first byte.
+/// Reads a head; `None` if the stream ends before its first byte.
+///
+/// Fails on an error of the stream, if the stream ends within the head, and if the head is too long or not UTF-8.
 pub async fn read_head<S: Buffered>(from: &mut S) -> io::Result<Option<Head>> {
     while from.buffer().is_empty() {
         if from.fill().await? == 0 {
@@ -77,49 +85,54 @@
             break at + 4;
         }
         if from.buffer().len() > MAX_HEAD_BYTES {
-            return Err(malformed("no end of the head"));
+            return Err(malformed("the head is too long"));
         }
-        more(from).await?;
+        fill_or_eof(from).await?;
     };
     let bytes: Vec<u8> = from.buffer().drain(..length).collect();
-    let text = String::from_utf8(bytes).map_err(|_| malformed("head"))?;
+    let text = String::from_utf8(bytes).map_err(|_| malformed("the head is not UTF-8"))?;
     let mut lines = text.split("\r\n");
-    let line = lines.next().unwrap_or_default().to_owned();
+    let start_line = lines.next().unwrap_or_default().to_owned();
     let fields = lines.filter_map(|l| l.split_once(':'));
     let fields = fields.map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_owned())).collect();
-    Ok(Some(Head { line, fields }))
+    Ok(Some(Head { start_line, fields }))
 }
 
-/// A body as far as it is looked at: its length and its beginning.
+/// The parts of a body that are inspected: its length and its first bytes.
 #[derive(Debug, Default)]
-pub struct BodySeen {
-    /// Its length in bytes.
+pub struct BodySummary {
+    /// The length in bytes.
     pub length: u64,
-    /// Its first bytes.
-    pub beginning: Vec<u8>,
+    /// The first bytes, at most 16.
+    pub prefix: Vec<u8>,
 }
 
-/// Bytes of a body's beginning that are kept.
-const BEGINNING: usize = 16;
+/// The number of bytes of a body that a summary keeps.
+const PREFIX_BYTES: usize = 16;
 
-impl BodySeen {
-    fn take(&mut self, bytes: &[u8]) {
+impl BodySummary {
+    /// Adds the next bytes of the body.
+    fn add(&mut self, bytes: &[u8]) {
         self.length += bytes.len() as u64;
-        let room = BEGINNING.saturating_sub(self.beginning.len());
-        self.beginning.extend_from_slice(&bytes[..bytes.len().min(room)]);
+        let missing = PREFIX_BYTES.saturating_sub(self.prefix.len());
+        self.prefix.extend_from_slice(&bytes[..bytes.len().min(missing)]);
     }
 }
 
-async fn read_exactly<S: Buffered>(from: &mut S, mut left: u64, seen: &mut BodySeen) -> io::Result<()> {
-    while left > 0 {
+async fn read_exactly<S: Buffered>(
+    from: &mut S,
+    mut remaining: u64,
+    summary: &mut BodySummary,
+) -> io::Result<()> {
+    while remaining > 0 {
         if from.buffer().is_empty() {
-            more(from).await?;
+            fill_or_eof(from).await?;
         }
         let buffer = from.buffer();
-        let n = buffer.len().min(usize::try_from(left).unwrap_or(usize::MAX));
-        seen.take(&buffer[..n]);
+        let n = buffer.len().min(usize::try_from(remaining).unwrap_or(usize::MAX));
+        summary.add(&buffer[..n]);
         buffer.drain(..n);
-        left -= n as u64;
+        remaining -= n as u64;
     }
     Ok(())
 }
@@ -128,55 +141,57 @@
     loop {
         if let Some(at) = from.buffer().iter().position(|b| *b == b'\n') {
             let line: Vec<u8> = from.buffer().drain(..=at).collect();
-            return String::from_utf8(line).map(|l| l.trim().to_owned()).map_err(|_| malformed("line"));
+            return String::from_utf8(line)
+                .map(|l| l.trim().to_owned())
+                .map_err(|_| malformed("a line of the chunked body is not UTF-8"));
         }
-        more(from).await?;
+        fill_or_eof(from).await?;
     }
 }
 
-async fn read_chunks<S: Buffered>(from: &mut S, seen: &mut BodySeen) -> io::Result<()> {
+async fn read_chunks<S: Buffered>(from: &mut S, summary: &mut BodySummary) -> io::Result<()> {
     loop {
         let line = read_line(from).await?;
         let size = line.split(';').next().unwrap_or_default();
-        let size = u64::from_str_radix(size.trim(), 16).map_err(|_| malformed("chunk"))?;
+        let size = u64::from_str_radix(size.trim(), 16).map_err(|_| malformed("invalid chunk size"))?;
         if size == 0 {
             while !read_line(from).await?.is_empty() {}
             return Ok(());
         }
-        read_exactly(from, size, seen).await?;
+        read_exactly(from, size, summary).await?;
         read_line(from).await?;
     }
 }
 
-/// Reads a body to its end; one without a length goes to the end of the stream where `to_end` allows it.
-pub async fn read_body<S: Buffered>(from: &mut S, head: &Head, to_end: bool) -> io::Result<BodySeen> {
-    let mut seen = BodySeen::default();
+/// Reads a body to its end. A body without a length ends with the stream if `until_eof` is set, else it is empty.
+pub async fn read_body<S: Buffered>(from: &mut S, head: &Head, until_eof: bool) -> io::Result<BodySummary> {
+    let mut summary = BodySummary::default();
     let length = head.field("content-length").and_then(|v| v.parse().ok());
     if head.field("transfer-encoding").is_some() {
-        read_chunks(from, &mut seen).await?;
+        read_chunks(from, &mut summary).await?;
     } else if let Some(length) = length {
-        read_exactly(from, length, &mut seen).await?;
-    } else if to_end {
+        read_exactly(from, length, &mut summary).await?;
+    } else if until_eof {
         loop {
             let bytes = std::mem::take(from.buffer());
-            seen.take(&bytes);
+            summary.add(&bytes);
             if from.fill().await? == 0 {
                 break;
             }
         }
     }
-    Ok(seen)
+    Ok(summary)
 }
 
-/// A plain connection with a buffer.
+/// A TCP connection with a read buffer.
 pub struct PlainStream {
-    /// The connection.
+    /// The TCP connection.
     pub stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl PlainStream {
-    /// Nothing has been read from it yet.
+    /// Creates a stream with an empty buffer.
     pub fn new(stream: TcpStream) -> Self {
         PlainStream { stream, buffer: Vec::new() }
     }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,6 +1,7 @@
-//! A seeded fault soak: real gateway processes between stand-ins, troubles that overlap, an oracle of its own.
+//! A seeded fault soak: runs real gateway processes between stand-ins, injects overlapping troubles (faults), and
+//! judges the recorded events with an independent oracle.
 //!
-//! The program is `main.rs`; the rest is public for the tests. See `docs/soak.md`.
+//! The program is `main.rs`; this library is public for the tests. See `docs/soak.md`.
 #![deny(unsafe_code)]
 
 pub mod batch;
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between a gateway and a stand-in, and what can go wrong on them.
+//! Simulated network links between a gateway and a stand-in, and the faults that can be injected on them.
 
 use crate::http::Buffered;
 use std::io;
@@ -9,23 +9,23 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How a link carries bytes.
+/// The state of a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkMode {
-    /// As it should.
+    /// Bytes pass in both directions.
     Open,
-    /// Nothing gets through either way, and nobody is told.
+    /// Nothing passes in either direction, and neither side gets an error.
     Silent,
-    /// What the stand-in says does not get through.
+    /// Bytes pass to the stand-in; its answers are held back.
     AnswersHeld,
-    /// What the stand-in says gets through so much later.
+    /// The stand-in's answers pass after this delay.
     Delayed(Duration),
 }
 
-/// One gateway's link to one stand-in.
+/// The link between one gateway and one stand-in.
 pub struct Link {
     mode: watch::Sender<LinkMode>,
-    /// Counts the times at which all connections over it were reset.
+    /// The number of times that all connections over the link were reset.
     resets: watch::Sender<u64>,
 }
 
@@ -36,8 +36,8 @@
 }
 
 impl Link {
-    /// Carries bytes in this way from now on. Connections that were silent are reset then, as those of a machine
-    /// that was cut off are once it is back.
+    /// Sets the mode. Connections over a link that was silent are reset when it is no longer silent, as are those of
+    /// a machine that was cut off and is reachable again.
     pub fn set(&self, mode: LinkMode) {
         let before = self.mode.send_replace(mode);
         if before == LinkMode::Silent && mode != LinkMode::Silent {
@@ -45,27 +45,27 @@
         }
     }
 
-    /// Resets all connections.
+    /// Resets all connections over the link.
     pub fn reset(&self) {
         self.resets.send_modify(|resets| *resets += 1);
     }
 }
 
-/// A stand-in's end of a connection over a link.
+/// The stand-in's end of a connection over a link.
 pub struct LinkStream {
     stream: TcpStream,
     mode: watch::Receiver<LinkMode>,
     resets: watch::Receiver<u64>,
-    /// What has been read and not been used.
+    /// The bytes that were read and are not yet consumed.
     pub buffer: Vec<u8>,
 }
 
-fn broken() -> io::Error {
+fn connection_reset() -> io::Error {
     io::ErrorKind::ConnectionReset.into()
 }
 
 impl LinkStream {
-    /// A connection that has just come over a link.
+    /// Wraps a connection that was just accepted over a link.
     pub fn new(stream: TcpStream, link: &Arc<Link>) -> Self {
         let _ = stream.set_nodelay(true);
         let (mode, mut resets) = (link.mode.subscribe(), link.resets.subscribe());
@@ -73,19 +73,19 @@
         LinkStream { stream, mode, resets, buffer: Vec::new() }
     }
 
-    /// Writes all of it, as far as the link lets it.
+    /// Writes all bytes, after the link's delay and while the link passes answers. Fails when the connection is reset.
     pub async fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mode = *self.mode.borrow();
-        if let LinkMode::Delayed(by) = mode {
-            sleep(by).await;
+        if let LinkMode::Delayed(delay) = mode {
+            sleep(delay).await;
         }
         loop {
             let held = matches!(*self.mode.borrow_and_update(), LinkMode::Silent | LinkMode::AnswersHeld);
             tokio::select! {
                 biased;
-                _ = self.resets.changed() => return Err(broken()),
+                _ = self.resets.changed() => return Err(connection_reset()),
                 _ = self.mode.changed(), if held => {}
-                done = self.stream.write_all(bytes), if !held => return done,
+                result = self.stream.write_all(bytes), if !held => return result,
             }
         }
     }
@@ -95,7 +95,7 @@
         let _ = self.stream.set_zero_linger();
     }
 
-    /// Waits until the other side has ended the connection.
+    /// Waits until the peer has closed the connection or the link resets it; discards what arrives before.
     pub async fn wait_closed(&mut self) {
         while self.fill().await.is_ok_and(|n| n > 0) {}
     }
@@ -111,7 +111,7 @@
             let silent = *self.mode.borrow_and_update() == LinkMode::Silent;
             tokio::select! {
                 biased;
-                _ = self.resets.changed() => return Err(broken()),
+                _ = self.resets.changed() => return Err(connection_reset()),
                 _ = self.mode.changed() => {}
                 read = self.stream.read_buf(&mut self.buffer), if !silent => return read,
             }
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,13 +1,14 @@
-//! A seeded fault soak: real gateway processes between stand-ins, troubles that overlap, an oracle of its own.
+//! The command line of the fault soak: runs real gateway processes between stand-ins, injects overlapping troubles
+//! (faults), and judges the recorded events with an independent oracle.
 //!
-//! Each run is drawn from its seed and told as one line of JSON. See `docs/soak.md`.
+//! Each run is drawn from its seed and reported as one line of JSON. See `docs/soak.md`.
 #![deny(unsafe_code)]
 
 use anyhow::{ensure, Context};
 use clap::{Args, Parser, Subcommand};
-use gateway_soak::batch::play_all;
+use gateway_soak::batch::run_all;
 use gateway_soak::coverage::Coverage;
-use gateway_soak::run::Kept;
+use gateway_soak::run::RunPaths;
 use gateway_soak::scenario::{DrawOptions, Scenario};
 use gateway_soak::shrink::shrink;
 use gateway_soak::trouble::TroubleKind;
@@ -24,23 +25,23 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play the runs of some seeds; the exit code is 1 where one broke.
+    /// Execute the runs of some seeds; the exit code is 1 if any of them did not hold.
     Run(RunArgs),
-    /// Take troubles out of a broken run one at a time for as long as it still breaks.
+    /// Remove troubles from a broken run one at a time while it still breaks.
     Shrink {
-        /// The seed.
+        /// The seed of the run.
         seed: u64,
         #[command(flatten)]
         draw: DrawArgs,
     },
-    /// Print what is drawn for a seed, and play nothing.
+    /// Print what is drawn for a seed without executing the run.
     Show {
-        /// The seed.
+        /// The seed of the run.
         seed: u64,
         #[command(flatten)]
         draw: DrawArgs,
     },
-    /// List the troubles.
+    /// List the kinds of trouble.
     Troubles,
 }
 
@@ -49,13 +50,13 @@
     /// One seed, or a range with both ends: `7`, `1..40`.
     #[arg(long, value_parser = parse_seeds, default_value = "1")]
     seeds: SeedRange,
-    /// Runs that go on at once; each wants a core and a half.
+    /// Runs at the same time; each needs about 1.5 cores.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// Of the drawn troubles, these places alone, as a replay names them.
+    /// Keep only the drawn troubles with these indices, as printed in a replay command.
     #[arg(long, value_delimiter = ',')]
     only: Option<Vec<usize>>,
-    /// Print how often each pair of troubles met.
+    /// Print how often each pair of kinds of trouble overlapped.
     #[arg(long)]
     table: bool,
     #[command(flatten)]
@@ -64,29 +65,31 @@
 
 #[derive(Args, Clone)]
 struct DrawArgs {
-    /// Also draw troubles whose faults are filed and not mended.
+    /// Also draw kinds of trouble whose faults are filed and not yet fixed.
     #[arg(long)]
     filed: bool,
-    /// Draw these kinds of trouble alone.
+    /// Draw these kinds of trouble only.
     #[arg(long, value_delimiter = ',')]
     kinds: Vec<String>,
-    /// Gateways at the most; 0: as drawn (10 to 40).
+    /// The maximum number of gateways; 0 for no limit (10 to 40 are drawn).
     #[arg(long, default_value_t = 0)]
     max_gateways: usize,
-    /// The gateway's program; beside this one where it is not named.
+    /// The gateway's program; by default the one in the folder of this program.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Keep logs of broken runs in this folder.
+    /// Save the logs of runs that did not hold in this folder.
     #[arg(long)]
     logs: Option<PathBuf>,
 }
 
+/// A range of seeds with both ends.
 #[derive(Clone, Copy, Debug)]
 struct SeedRange {
     first: u64,
     last: u64,
 }
 
+/// Parses `7` or `1..40`.
 fn parse_seeds(text: &str) -> Result<SeedRange, String> {
     let number = |text: &str| text.parse::<u64>().map_err(|e| format!("{text:?}: {e}"));
     let (first, last) = match text.split_once("..") {
@@ -94,32 +97,35 @@
         None => (number(text)?, number(text)?),
     };
     if first > last {
-        return Err(format!("{text:?}: the first seed is above the last one"));
+        return Err(format!("{text:?}: the first seed is greater than the last one"));
     }
     Ok(SeedRange { first, last })
 }
 
 impl DrawArgs {
-    fn choice(&self) -> anyhow::Result<DrawOptions> {
+    /// The options for drawing. Fails on an unknown kind of trouble.
+    fn options(&self) -> anyhow::Result<DrawOptions> {
         let kinds = self.kinds.iter().map(|name| {
-            TroubleKind::named(name).with_context(|| format!("no trouble is named {name:?}; see `troubles`"))
+            TroubleKind::from_name(name)
+                .with_context(|| format!("unknown kind of trouble {name:?}; see `troubles`"))
         });
         let kinds = kinds.collect::<Result<_, _>>()?;
-        Ok(DrawOptions { filed: self.filed, kinds, max_gateways: self.max_gateways })
+        Ok(DrawOptions { include_filed: self.filed, kinds, max_gateways: self.max_gateways })
     }
 
-    fn kept(&self) -> anyhow::Result<Kept> {
+    /// The programs and the folder for logs. Fails if a program does not exist.
+    fn run_paths(&self) -> anyhow::Result<RunPaths> {
         let own = std::env::current_exe()?;
-        let beside = own.parent().context("this program stands in no folder")?;
-        let program = self.program.clone().unwrap_or_else(|| beside.join("badgerglade"));
-        let shim = beside.join("libsoak_shim.so");
+        let folder = own.parent().context("the path of this program has no folder")?;
+        let program = self.program.clone().unwrap_or_else(|| folder.join("badgerglade"));
+        let shim = folder.join("libsoak_shim.so");
         for path in [&program, &shim] {
-            ensure!(path.exists(), "{} is not there: run `cargo build --workspace` first", path.display());
+            ensure!(path.exists(), "{} does not exist: run `cargo build --workspace` first", path.display());
         }
-        Ok(Kept { program: program.canonicalize()?, shim, logs: self.logs.clone() })
+        Ok(RunPaths { program: program.canonicalize()?, shim, logs: self.logs.clone() })
     }
 
-    /// The command that plays a seed again.
+    /// The command that repeats the run of a seed, with the troubles at the indices `only` if given.
     fn replay(&self, seed: u64, only: Option<&[usize]>) -> String {
         let mut command = format!("gateway-soak run --seeds {seed}");
         if self.filed {
@@ -132,8 +138,8 @@
             command += &format!(" --max-gateways {}", self.max_gateways);
         }
         if let Some(only) = only {
-            let places: Vec<String> = only.iter().map(usize::to_string).collect();
-            command += &format!(" --only {}", places.join(","));
+            let indices: Vec<String> = only.iter().map(usize::to_string).collect();
+            command += &format!(" --only {}", indices.join(","));
         }
         command
     }
@@ -142,11 +148,11 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
-    let done = match runtime {
+    let result = match runtime {
         Ok(runtime) => runtime.block_on(perform(cli.command)),
         Err(e) => Err(e.into()),
     };
-    match done {
+    match result {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
         Err(e) => {
@@ -156,42 +162,47 @@
     }
 }
 
-/// True where everything held.
+/// Performs a command. Returns true if no run broke.
 async fn perform(command: Command) -> anyhow::Result<bool> {
     match command {
         Command::Troubles => {
             for kind in TroubleKind::ALL {
-                println!("{}{}", kind.name(), if kind.filed() { " (filed: drawn with --filed)" } else { "" });
+                println!(
+                    "{}{}",
+                    kind.name(),
+                    if kind.is_filed() { " (filed: drawn with --filed)" } else { "" }
+                );
             }
             Ok(true)
         }
         Command::Show { seed, draw } => {
-            println!("{}", serde_json::to_string_pretty(&Scenario::draw(seed, &draw.choice()?))?);
+            println!("{}", serde_json::to_string_pretty(&Scenario::draw(seed, &draw.options()?))?);
             Ok(true)
         }
         Command::Run(args) => run_seeds(args).await,
         Command::Shrink { seed, draw } => {
-            let replay = |places: &[usize]| draw.replay(seed, Some(places));
-            shrink(&Scenario::draw(seed, &draw.choice()?), &draw.kept()?, replay).await
+            let replay = |indices: &[usize]| draw.replay(seed, Some(indices));
+            shrink(&Scenario::draw(seed, &draw.options()?), &draw.run_paths()?, replay).await
         }
     }
 }
 
+/// Executes and reports the runs of some seeds. Returns true if all of them held.
 async fn run_seeds(args: RunArgs) -> anyhow::Result<bool> {
     ensure!((1..=MAX_SLOTS).contains(&args.jobs), "--jobs takes 1 to {}", MAX_SLOTS);
-    let (choice, kept) = (args.draw.choice()?, args.draw.kept()?);
+    let (options, paths) = (args.draw.options()?, args.draw.run_paths()?);
     let seeds: Vec<u64> = (args.seeds.first..=args.seeds.last).collect();
     let scenarios: Vec<(Scenario, String)> = seeds
         .into_iter()
         .map(|seed| {
-            let drawn = Scenario::draw(seed, &choice);
+            let drawn = Scenario::draw(seed, &options);
             let scenario = args.only.as_ref().map_or_else(|| drawn.clone(), |only| drawn.with_troubles(only));
             (scenario, args.draw.replay(seed, args.only.as_deref()))
         })
         .collect();
     let mut coverage = Coverage::default();
-    let reports = play_all(scenarios, &kept, args.jobs, |scenario, report| {
-        coverage.note(scenario, report.verdict != "held");
+    let reports = run_all(scenarios, &paths, args.jobs, |scenario, report| {
+        coverage.record(scenario, report.verdict != "held");
         if let Ok(line) = serde_json::to_string(report) {
             println!("{line}");
         }
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -1,4 +1,4 @@
-//! Gateway processes: started, told, killed, watched, their logs read.
+//! Gateway processes: starts, signals and watches them, calls their operators' server and reads their logs.
 
 use crate::shim::{ShimControl, CONTROL_VARIABLE};
 use crate::trace::{Event, GatewayIndex, Trace};
@@ -19,57 +19,59 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// An operator's call is answered by then.
-const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a new process is asked whether it is ready.
+/// The time limit of a call to the operators' server.
+const OPERATOR_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The interval at which a new process is asked whether it is ready.
 const READY_INTERVAL: Duration = Duration::from_millis(15);
-/// A process that is not ready by then never will be.
+/// A process that is not ready after this time is not waited for any longer.
 const READY_TIMEOUT: Duration = Duration::from_secs(12);
-/// The pipe that the log goes through is as short as the kernel makes one.
-const LOG_PIPE_BYTES: i32 = 4096;
-/// Lines of the log that are kept.
+/// The capacity of the pipe for the log: the smallest that the kernel allows, so that a reader that stalls soon blocks
+/// the writer.
+const LOG_PIPE_CAPACITY_BYTES: i32 = 4096;
+/// The maximum number of log lines that are kept.
 const MAX_LOG_LINES: usize = 200_000;
 
-/// Where programs and files are.
-pub struct Places {
+/// The programs and the folder of a run.
+pub struct ProcessPaths {
     /// The gateway's program.
     pub program: PathBuf,
-    /// The library that is preloaded.
+    /// The library to preload.
     pub shim: PathBuf,
-    /// A folder for this run.
+    /// The folder of this run.
     pub folder: PathBuf,
 }
 
-/// What a process is started with.
+/// The parameters of a new process.
 pub struct Launch<'a> {
-    /// Its gateway.
+    /// The gateway that it belongs to.
     pub gateway: GatewayIndex,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// The clients' socket, where the platform holds it.
-    pub inherited: Option<&'a TcpListener>,
-    /// Where operators call.
+    /// The listening socket for clients, if the platform holds it.
+    pub inherited_listener: Option<&'a TcpListener>,
+    /// The address of its operators' server.
     pub ops: SocketAddr,
-    /// Its agent of discovery.
+    /// The address of its discovery agent.
     pub discovery: SocketAddr,
-    /// Its configuration.
+    /// The path of its configuration file.
     pub config: &'a Path,
-    /// The folder that outlives it.
+    /// A folder whose content is kept from one process of the gateway to the next.
     pub folder: &'a Path,
 }
 
-/// The reader of a process's log.
+/// Reads the log of a process.
 #[derive(Default)]
 pub struct LogReader {
-    /// It reads nothing.
+    /// Set while nothing is read.
     pub stalled: AtomicBool,
-    /// It closes its end.
+    /// Set to close the reading end.
     pub closed: AtomicBool,
     lines: Mutex<Vec<String>>,
 }
 
 impl LogReader {
-    fn read(self: Arc<Self>, pipe: PipeReader, trace: Arc<Trace>, gateway: GatewayIndex, pid: u32) {
+    /// Reads lines until the process closes the log or `closed` is set. Records lines about panics and guard violations.
+    fn read_lines(self: Arc<Self>, pipe: PipeReader, trace: Arc<Trace>, gateway: GatewayIndex, pid: u32) {
         let mut pipe = BufReader::with_capacity(512, pipe);
         let mut line = String::new();
         loop {
@@ -95,37 +97,42 @@
         }
     }
 
-    /// What has been read.
+    /// The lines read so far, each with the time in seconds, the gateway and the process id.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// A process of a gateway.
+/// One process of a gateway.
 pub struct Process {
-    /// Its gateway.
+    /// The gateway that it belongs to.
     pub gateway: GatewayIndex,
-    /// Its number.
+    /// The process id.
     pub pid: u32,
-    /// Where operators call.
+    /// The address of its operators' server.
     pub ops: SocketAddr,
-    /// Which of its calls fail.
+    /// Controls which of its system calls fail.
     pub shim: ShimControl,
-    /// Its log.
+    /// The reader of its log.
     pub log: Arc<LogReader>,
-    /// It has been told to end, or was killed.
-    expected: Arc<AtomicBool>,
+    /// Set once it was told to terminate or was killed.
+    exit_expected: Arc<AtomicBool>,
+    /// Set once SIGTERM was sent.
     terminated: AtomicBool,
     exited: watch::Receiver<bool>,
-    descriptors_ready: AtomicUsize,
-    memory_ready_kb: AtomicUsize,
+    /// The number of open descriptors when it became ready.
+    descriptors_when_ready: AtomicUsize,
+    /// The resident memory in kB when it became ready.
+    memory_when_ready_kb: AtomicUsize,
     trace: Arc<Trace>,
 }
 
 impl Process {
-    /// Starts one. `prepare` may make its calls fail from the beginning.
+    /// Starts a process; `prepare` can make its system calls fail from the start.
+    ///
+    /// Fails if the control page, the pipe for the log or the process cannot be created.
     pub fn start(
-        places: &Places,
+        places: &ProcessPaths,
         launch: &Launch<'_>,
         trace: Arc<Trace>,
         prepare: impl FnOnce(&ShimControl),
@@ -134,7 +141,7 @@
         let shim = ShimControl::create(&control)?;
         prepare(&shim);
         let (reader, writer) = std::io::pipe()?;
-        nix::fcntl::fcntl(&writer, nix::fcntl::FcntlArg::F_SETPIPE_SZ(LOG_PIPE_BYTES))?;
+        nix::fcntl::fcntl(&writer, nix::fcntl::FcntlArg::F_SETPIPE_SZ(LOG_PIPE_CAPACITY_BYTES))?;
         let mut command = Command::new(&places.program);
         command
             .env("NODE_CONFIG", launch.config)
@@ -150,52 +157,52 @@
             .stdout(Stdio::null())
             .stderr(Stdio::from(OwnedFd::from(writer)))
             .kill_on_drop(true);
-        if let Some(listener) = launch.inherited {
-            // Without unsafe code, the one descriptor that can be handed down is the standard input.
+        if let Some(listener) = launch.inherited_listener {
+            // The standard input is the only descriptor that can be passed on without unsafe code.
             command.stdin(Stdio::from(OwnedFd::from(listener.try_clone()?))).env("NODE_FD", "0");
         }
-        let child = command.spawn().context("the gateway's program does not start")?;
+        let child = command.spawn().context("cannot start the gateway's program")?;
         drop(command);
-        let pid = child.id().context("no process")?;
+        let pid = child.id().context("the gateway's process has no id")?;
         trace.record(Event::Started { gateway: launch.gateway });
         let log = Arc::new(LogReader::default());
-        let (reads, seen, gateway) = (log.clone(), trace.clone(), launch.gateway);
-        std::thread::spawn(move || reads.read(reader, seen, gateway, pid));
-        let expected = Arc::new(AtomicBool::new(false));
+        let (log_reader, log_trace, gateway) = (log.clone(), trace.clone(), launch.gateway);
+        std::thread::spawn(move || log_reader.read_lines(reader, log_trace, gateway, pid));
+        let exit_expected = Arc::new(AtomicBool::new(false));
         let (exit, exited) = watch::channel(false);
-        tokio::spawn(watch_exit(child, gateway, pid, expected.clone(), exit, trace.clone()));
+        tokio::spawn(watch_exit(child, gateway, pid, exit_expected.clone(), exit, trace.clone()));
         Ok(Arc::new(Process {
             gateway,
             pid,
             ops: launch.ops,
             shim,
             log,
-            expected,
+            exit_expected,
             terminated: AtomicBool::new(false),
             exited,
-            descriptors_ready: AtomicUsize::new(0),
-            memory_ready_kb: AtomicUsize::new(0),
+            descriptors_when_ready: AtomicUsize::new(0),
+            memory_when_ready_kb: AtomicUsize::new(0),
             trace,
         }))
     }
 
-    /// Sends a signal.
+    /// Sends a signal, unless the process has exited.
     pub fn signal(&self, signal: Signal) {
         if !self.has_exited() {
             let _ = kill(Pid::from_raw(self.pid as i32), signal);
         }
     }
 
-    /// Tells it to end.
+    /// Sends SIGTERM; the exit is expected from now on.
     pub fn terminate(&self) {
-        self.expected.store(true, Ordering::Relaxed);
+        self.exit_expected.store(true, Ordering::Relaxed);
         self.terminated.store(true, Ordering::Relaxed);
         self.signal(Signal::SIGTERM);
     }
 
-    /// Kills it.
+    /// Sends SIGKILL and records that, unless the process has exited.
     pub fn kill(&self) {
-        self.expected.store(true, Ordering::Relaxed);
+        self.exit_expected.store(true, Ordering::Relaxed);
         if !self.has_exited() {
             let planned = self.terminated.load(Ordering::Relaxed);
             self.trace.record(Event::Killed { gateway: self.gateway, planned });
@@ -203,37 +210,38 @@
         self.signal(Signal::SIGKILL);
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_exited(&self) -> bool {
         *self.exited.borrow()
     }
 
-    /// Waits for its end, up to a time.
-    pub async fn exit_within(&self, limit: Duration) {
+    /// Waits for the exit, for `limit` at most.
+    pub async fn wait_for_exit(&self, limit: Duration) {
         let mut exited = self.exited.clone();
         let _ = timeout(limit, exited.wait_for(|exited| *exited)).await;
     }
 
-    /// Waits until it says that it is ready.
-    pub async fn ready(&self) -> bool {
+    /// Waits until the process is ready and records the time that it took. Returns false if the process exits or is not
+    /// ready in time.
+    pub async fn wait_until_ready(&self) -> bool {
         let began = Instant::now();
         while began.elapsed() < READY_TIMEOUT && !self.has_exited() {
-            if self.call("GET", "/ready").await.is_some_and(|(status, _)| status == 200) {
+            if self.call_operator_api("GET", "/ready").await.is_some_and(|(status, _)| status == 200) {
                 self.trace.record(Event::Ready { pid: self.pid, after: Some(began.elapsed()) });
-                self.descriptors_ready.store(self.descriptors(), Ordering::Relaxed);
-                self.memory_ready_kb.store(self.memory_kb() as usize, Ordering::Relaxed);
+                self.descriptors_when_ready.store(self.open_descriptors(), Ordering::Relaxed);
+                self.memory_when_ready_kb.store(self.resident_memory_kb() as usize, Ordering::Relaxed);
                 return true;
             }
             sleep(READY_INTERVAL).await;
         }
-        if !self.expected.load(Ordering::Relaxed) {
+        if !self.exit_expected.load(Ordering::Relaxed) {
             self.trace.record(Event::Ready { pid: self.pid, after: None });
         }
         false
     }
 
-    /// One call of an operator: the status and what came with it.
-    pub async fn call(&self, method: &str, target: &str) -> Option<(u16, String)> {
+    /// Calls the operators' server and returns the status and the body; `None` on an error and after the time limit.
+    pub async fn call_operator_api(&self, method: &str, target: &str) -> Option<(u16, String)> {
         let request = format!("{method} {target} HTTP/1.1\r\nhost: ops\r\ncontent-length: 0\r\n\r\n");
         let call = async {
             let mut stream = TcpStream::connect(self.ops).await.ok()?;
@@ -244,44 +252,47 @@
             let body = text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default();
             Some((status, body))
         };
-        timeout(CALL_TIMEOUT, call).await.ok().flatten()
+        timeout(OPERATOR_CALL_TIMEOUT, call).await.ok().flatten()
     }
 
-    fn descriptors(&self) -> usize {
+    /// The number of open descriptors; 0 if the process has exited.
+    fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.pid)).map_or(0, Iterator::count)
     }
 
-    fn memory_kb(&self) -> u64 {
+    /// The resident memory in kB; 0 if the process has exited.
+    fn resident_memory_kb(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.pid)).unwrap_or_default();
         let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
         line.and_then(|l| l.trim().trim_end_matches("kB").trim().parse().ok()).unwrap_or(0)
     }
 
-    /// Records what it holds and says of itself.
-    pub async fn record_figures(&self) {
+    /// Records the resources that the process holds, the violations that its guard counted, and whether it is ready.
+    pub async fn record_final_state(&self) {
         let gateway = self.gateway;
-        let figures = self
-            .call("GET", "/metrics")
+        let metrics = self
+            .call_operator_api("GET", "/metrics")
             .await
             .and_then(|(_, text)| serde_json::from_str::<serde_json::Value>(&text).ok());
-        let Some(figures) = figures else {
+        let Some(metrics) = metrics else {
             return self.trace.record(Event::FiguresMissing { gateway });
         };
-        let guards = figures.get("guard_violations").and_then(|v| v.as_object());
+        let guards = metrics.get("guard_violations").and_then(|v| v.as_object());
         let violations = guards.into_iter().flat_map(|m| m.values()).filter_map(|v| v.as_u64()).sum();
-        let healthy = self.call("GET", "/ready").await.is_some_and(|(status, _)| status == 200);
+        let healthy = self.call_operator_api("GET", "/ready").await.is_some_and(|(status, _)| status == 200);
         self.trace.record(Event::Figures {
             gateway,
             violations,
-            descriptors: self.descriptors(),
-            descriptors_ready: self.descriptors_ready.load(Ordering::Relaxed),
-            memory_kb: (self.memory_kb(), self.memory_ready_kb.load(Ordering::Relaxed) as u64),
-            tasks: figures.get("tasks").and_then(|v| v.as_u64()),
+            descriptors: self.open_descriptors(),
+            descriptors_ready: self.descriptors_when_ready.load(Ordering::Relaxed),
+            memory_kb: (self.resident_memory_kb(), self.memory_when_ready_kb.load(Ordering::Relaxed) as u64),
+            tasks: metrics.get("tasks").and_then(|v| v.as_u64()),
             healthy,
         });
     }
 }
 
+/// Waits for the exit of a process and records it.
 async fn watch_exit(
     mut child: Child,
     gateway: GatewayIndex,
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,10 +1,10 @@
-//! One run from its set-up to its verdict.
+//! Executes one run, from its set-up to its verdict.
 
 use crate::client::Admission;
 use crate::director;
 use crate::oracle::{self, Break};
-use crate::process::Places;
-use crate::scenario::{Scenario, MEASURE, QUIET, RECOVERY};
+use crate::process::ProcessPaths;
+use crate::scenario::{Scenario, MEASUREMENT_TIME, RECOVERY_TIME, SETTLE_TIME};
 use crate::trace::{ClientEnd, Entry, Event};
 use crate::world::World;
 use serde::Serialize;
@@ -14,141 +14,155 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A run ends by itself within this, whatever happens in it.
-pub const LONGEST_RUN: Duration = Duration::from_secs(75);
-/// How long clients go on waiting at the end.
-const LAST_ANSWERS: Duration = Duration::from_secs(6);
-/// A gateway is known to idle out connections after so long.
-const REST: Duration = Duration::from_millis(4_950);
-/// The soak's own delays are measured this often.
+/// The time limit of a run; a run that takes longer is reported as unfinished.
+pub const MAX_RUN_TIME: Duration = Duration::from_secs(75);
+/// The time limit for the requests in flight at the end of the traffic.
+const FINAL_ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+/// The idle time of reused connections: just below a gateway's idle timeout of 5 s.
+const IDLE_BEFORE_REUSE: Duration = Duration::from_millis(4_950);
+/// The interval at which the delay of the soak's own timers is measured.
 const LAG_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What became of a run, as one line of JSON.
+/// The result of a run, printed as one line of JSON.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The seed.
+    /// The seed that the run was drawn from.
     pub seed: u64,
     /// `held`, `broken`, or `unfinished`.
     pub verdict: &'static str,
-    /// The invariants that broke.
+    /// The breaks of invariants.
     pub broken: Vec<Break>,
-    /// Number of gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Requests sent; answered with 200, refused, failed, ended otherwise.
+    /// The number of requests sent.
     pub requests: usize,
-    /// See `requests`.
+    /// Requests answered with 200.
     pub served: usize,
-    /// See `requests`.
+    /// Requests answered with 429 or 503.
     pub refused: usize,
-    /// See `requests`.
+    /// Requests answered with any other status.
     pub failed: usize,
-    /// See `requests`.
+    /// Requests that ended without a whole answer.
     pub otherwise: usize,
-    /// The part of the requests inside their quotas that was served in the time in which all is to be well again.
+    /// The fraction of the requests within their quotas that was served during the measurement after the recovery time.
     pub recovered: Option<f64>,
-    /// Attempts at backends.
+    /// The number of attempts at backends.
     pub attempts: usize,
-    /// The longest delay of the soak's own timers: where it is long, the machine was too busy to judge by time.
+    /// The longest delay of the soak's own timers in milliseconds. If it is long, the machine was too busy for verdicts
+    /// that depend on times.
     pub max_lag_ms: u64,
-    /// How long it took.
+    /// The duration of the run in seconds.
     pub seconds: f64,
-    /// The troubles, with gateway, backend, beginning and length in milliseconds.
+    /// The troubles, each with its gateway, its backend, and its start and duration in milliseconds.
     pub troubles: Vec<String>,
-    /// The command that plays it again.
+    /// The command that repeats the run.
     pub replay: String,
 }
 
-/// Where things are found and kept.
+/// The programs of a run, and the folder for its logs.
 #[derive(Clone)]
-pub struct Kept {
+pub struct RunPaths {
     /// The gateway's program.
     pub program: PathBuf,
     /// The library to preload.
     pub shim: PathBuf,
-    /// Folder for logs of runs that broke; nothing is kept without one.
+    /// The folder for the logs and events of runs that did not hold; without one, they are not saved.
     pub logs: Option<PathBuf>,
 }
 
-/// Plays a run. `slot` tells it apart from others that go on in this process.
-pub async fn play(scenario: Scenario, kept: &Kept, slot: usize, replay: String) -> anyhow::Result<Report> {
+/// Executes a run and judges it. `slot` must differ from those of other runs that this process executes at the same
+/// time; it is below `MAX_SLOTS`.
+///
+/// Fails if the run cannot be set up or its logs cannot be saved.
+pub async fn execute(
+    scenario: Scenario,
+    paths: &RunPaths,
+    slot: usize,
+    replay: String,
+) -> anyhow::Result<Report> {
     let began = Instant::now();
     let folder = std::env::temp_dir().join(format!("soak-{}-{slot}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder)?;
-    let places = Places { program: kept.program.clone(), shim: kept.shim.clone(), folder: folder.clone() };
-    let world = Arc::new(World::set_up(scenario, places, slot).await?);
+    let process_paths =
+        ProcessPaths { program: paths.program.clone(), shim: paths.shim.clone(), folder: folder.clone() };
+    let world = Arc::new(World::set_up(scenario, process_paths, slot).await?);
     let lag = Arc::new(LagMeter::default());
     tokio::spawn(lag.clone().measure());
-    let finished = timeout(LONGEST_RUN, perform(&world)).await.is_ok();
+    let finished = timeout(MAX_RUN_TIME, perform(&world)).await.is_ok();
     lag.stop.store(true, Ordering::Relaxed);
     let entries = world.trace.entries();
     let broken = oracle::judge(&entries, &world.scenario);
     for process in world.gateways.iter().flat_map(|gateway| gateway.running()) {
         process.kill();
-        process.exit_within(Duration::from_secs(2)).await;
+        process.wait_for_exit(Duration::from_secs(2)).await;
     }
     let verdict = match (finished, broken.is_empty()) {
         (false, _) => "unfinished",
         (_, true) => "held",
         (_, false) => "broken",
     };
-    if let Some(logs) = kept.logs.as_deref().filter(|_| verdict != "held") {
-        keep_logs(&world, &entries, logs)?;
+    if let Some(logs) = paths.logs.as_deref().filter(|_| verdict != "held") {
+        save_logs(&world, &entries, logs)?;
     }
     let _ = std::fs::remove_dir_all(&folder);
-    Ok(report(&world.scenario, &entries, broken, verdict, lag.max_ms(), began.elapsed(), replay))
+    Ok(build_report(&world.scenario, &entries, broken, verdict, lag.max_ms(), began.elapsed(), replay))
 }
 
+/// Starts the gateways, applies traffic and troubles, and measures the recovery and the final state.
 async fn perform(world: &Arc<World>) {
     let starts = world.gateways.iter().map(|gateway| {
         let world = world.clone();
         let index = gateway.index;
-        tokio::spawn(async move { world.gateways[index].come_back(&world, |_| {}).await })
+        tokio::spawn(async move { world.gateways[index].start_and_admit(&world, |_| {}).await })
     });
     for start in starts.collect::<Vec<_>>() {
         if let Ok(Err(e)) = start.await {
-            eprintln!("start: {e:#}");
+            eprintln!("cannot start a gateway: {e:#}");
         }
     }
     let seed = world.scenario.seed;
     let clients = [
         tokio::spawn(world.clients.clone().run(seed ^ 1)),
-        tokio::spawn(world.clients.clone().bad_peers(seed ^ 2)),
-        tokio::spawn(world.clients.clone().resters(REST, seed ^ 3)),
+        tokio::spawn(world.clients.clone().run_bad_peers(seed ^ 2)),
+        tokio::spawn(world.clients.clone().run_idle_reuse(IDLE_BEFORE_REUSE, seed ^ 3)),
     ];
     let troubles: Vec<_> = world.scenario.troubles.iter().cloned().enumerate().collect();
-    let troubles: Vec<_> =
-        troubles.into_iter().map(|(n, t)| tokio::spawn(director::play(world.clone(), n, t))).collect();
+    let troubles: Vec<_> = troubles
+        .into_iter()
+        .map(|(index, trouble)| tokio::spawn(director::apply(world.clone(), index, trouble)))
+        .collect();
     sleep(world.scenario.troubles_end()).await;
     for trouble in troubles {
         let _ = trouble.await;
     }
-    world.clients.proper_only.store(true, Ordering::Relaxed);
-    sleep(RECOVERY).await;
+    world.clients.well_formed_only.store(true, Ordering::Relaxed);
+    sleep(RECOVERY_TIME).await;
     world.trace.record(Event::MeasureBegan);
-    sleep(MEASURE).await;
+    sleep(MEASUREMENT_TIME).await;
     world.trace.record(Event::MeasureEnded);
     world.clients.stopped.store(true, Ordering::Relaxed);
     for task in clients {
         let _ = task.await;
     }
-    let last = Instant::now() + LAST_ANSWERS;
-    while world.clients.out() > 0 && Instant::now() < last {
+    let deadline = Instant::now() + FINAL_ANSWER_TIMEOUT;
+    while world.clients.in_flight_requests() > 0 && Instant::now() < deadline {
         sleep(Duration::from_millis(20)).await;
     }
     for gateway in &world.gateways {
         world.clients.admit(gateway.index, Admission::Closed);
         world.clients.drop_connections(gateway.index);
     }
-    sleep(QUIET).await;
+    sleep(SETTLE_TIME).await;
     for gateway in &world.gateways {
         match gateway.current() {
-            Some(process) => process.record_figures().await,
+            Some(process) => process.record_final_state().await,
             None => world.trace.record(Event::FiguresMissing { gateway: gateway.index }),
         }
     }
 }
 
+/// Measures the delay of the soak's own timers.
 #[derive(Default)]
 struct LagMeter {
     max_us: AtomicU64,
@@ -170,29 +184,31 @@
     }
 }
 
-fn keep_logs(world: &World, entries: &[Entry], logs: &Path) -> anyhow::Result<()> {
+/// Saves the log lines of all gateways, by time, and the recorded events.
+fn save_logs(world: &World, entries: &[Entry], logs: &Path) -> anyhow::Result<()> {
     std::fs::create_dir_all(logs)?;
     let seed = world.scenario.seed;
     let mut lines: Vec<String> = world.gateways.iter().flat_map(|gateway| gateway.logs()).collect();
-    lines.sort_by(|a, b| time_of(a).total_cmp(&time_of(b)));
+    lines.sort_by(|a, b| log_line_time_s(a).total_cmp(&log_line_time_s(b)));
     std::fs::write(logs.join(format!("{seed}.log")), lines.join("\n"))?;
-    let seen: Vec<String> =
+    let events: Vec<String> =
         entries.iter().map(|e| format!("{:.3} {:?}", e.at.as_secs_f64(), e.event)).collect();
-    std::fs::write(logs.join(format!("{seed}.trace")), seen.join("\n"))?;
+    std::fs::write(logs.join(format!("{seed}.trace")), events.join("\n"))?;
     Ok(())
 }
 
-fn time_of(line: &str) -> f64 {
+/// The time at the start of a log line, in seconds; 0 if there is none.
+fn log_line_time_s(line: &str) -> f64 {
     line.split(' ').next().and_then(|t| t.parse().ok()).unwrap_or(0.0)
 }
 
-fn report(
+fn build_report(
     scenario: &Scenario,
     entries: &[Entry],
     broken: Vec<Break>,
     verdict: &'static str,
     max_lag_ms: u64,
-    lasted: Duration,
+    duration: Duration,
     replay: String,
 ) -> Report {
     let count = |wanted: &dyn Fn(&Event) -> bool| entries.iter().filter(|e| wanted(&e.event)).count();
@@ -206,7 +222,7 @@
     let failed = status(&|s| !matches!(s, 200 | 429 | 503));
     let describe = |t: &crate::trouble::Trouble| {
         let wide = if t.wide { " wide" } else { "" };
-        let (begins, lasts) = (t.begins.as_millis(), t.lasts.as_millis());
+        let (begins, lasts) = (t.start.as_millis(), t.duration.as_millis());
         format!("{} g{} b{}{wide} {begins}+{lasts}", t.kind.name(), t.gateway, t.backend)
     };
     Report {
@@ -222,7 +238,7 @@
         recovered: oracle::recovered(entries, scenario),
         attempts: count(&|e| matches!(e, Event::AttemptBegan { .. })),
         max_lag_ms,
-        seconds: lasted.as_secs_f64(),
+        seconds: duration.as_secs_f64(),
         troubles: scenario.troubles.iter().map(describe).collect(),
         replay,
     }
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A whole run drawn from a seed.
+//! The scenario of a run, drawn from a seed.
 
 use crate::trouble::{Trouble, TroubleKind};
 use fastrand::Rng;
@@ -6,106 +6,106 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Traffic alone, before the first trouble.
-pub const CALM: Duration = Duration::from_millis(1_500);
-/// Troubles begin within this span after that.
+/// The duration of the traffic before the first trouble.
+pub const TIME_BEFORE_TROUBLES: Duration = Duration::from_millis(1_500);
+/// Troubles start within this time after that, in milliseconds.
 const TROUBLE_SPAN_MS: u64 = 5_500;
-/// The gateways have so long after the last trouble before they are measured.
-pub const RECOVERY: Duration = Duration::from_secs(5);
-/// For so long they are measured.
-pub const MEASURE: Duration = Duration::from_secs(4);
-/// After the clients have gone, what is held is counted after so long.
-pub const QUIET: Duration = Duration::from_millis(5_500);
-/// Edges of troubles that belong together are this close, in milliseconds.
-const EDGE_MS: u64 = 300;
-
-/// What is drawn for the gateways' settings.
+/// The time that the gateways have to recover after the last trouble, before they are measured.
+pub const RECOVERY_TIME: Duration = Duration::from_secs(5);
+/// The duration of the measurement.
+pub const MEASUREMENT_TIME: Duration = Duration::from_secs(4);
+/// The time from the end of the traffic until the resources that the processes still hold are counted.
+pub const SETTLE_TIME: Duration = Duration::from_millis(5_500);
+/// The maximum distance between the starts, and between the joint ends, of troubles of one group, in milliseconds.
+const EDGE_SPREAD_MS: u64 = 300;
+
+/// The drawn settings of the gateways.
 #[derive(Clone, Debug, Serialize)]
 pub struct Settings {
-    /// Lists are pushed; else they have to be asked for.
+    /// Discovery pushes its lists; otherwise the gateways ask for them.
     pub pushed: bool,
-    /// Second copies are allowed.
+    /// Hedged attempts (second copies) are allowed.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
     /// Probes are allowed.
     pub probes: bool,
-    /// Attempts that a request may have.
+    /// The maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// A connection to a backend must be up by then.
+    /// The time limit for a connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Nothing new goes to a backend so long after word of its drain.
+    /// The time, in milliseconds, after a gateway learns of a backend's drain until it may send nothing new to it.
     pub drain_grace_ms: u64,
-    /// A keyed request may be repeated within this window.
+    /// The time within which a request with an idempotency key may be repeated, in milliseconds.
     pub key_window_ms: u64,
-    /// Deadlines of the classes: safe, keyed, unsafe.
+    /// The deadlines of the classes in milliseconds: safe, keyed, unsafe.
     pub deadlines_ms: [u64; 3],
-    /// Backends close connections that have been idle for so long.
+    /// The time after which backends close idle connections, in milliseconds.
     pub idle_close_ms: u64,
-    /// Part of its capacity that a backend starts with.
+    /// The fraction of its capacity that a backend has when it starts.
     #[serde(rename = "cold_from")]
     pub cold_capacity: f64,
-    /// How long a backend takes to be warm.
+    /// The time that a backend takes to warm up, in milliseconds.
     pub warm_up_ms: u64,
-    /// Multiple of its present capacity at which a cold backend falls.
+    /// The load, as a multiple of its present capacity, under which a cold backend collapses.
     #[serde(rename = "fall_multiple")]
     pub collapse_multiple: f64,
-    /// For so long it must have been sent that much.
+    /// The time for which a cold backend must be under that load to collapse, in milliseconds.
     #[serde(rename = "fall_after_ms")]
     pub collapse_after_ms: u64,
-    /// A call to the counter is given up after so long.
+    /// The time limit of a call to the counter, in milliseconds.
     #[serde(rename = "counter_limit_ms")]
     pub counter_timeout_ms: u64,
-    /// Limits of a gateway.
+    /// The memory limit of a gateway in MB.
     pub memory_mb: u64,
-    /// Its descriptors.
+    /// The descriptor limit of a gateway.
     pub sockets: u64,
 }
 
-/// What is drawn for the clients.
+/// The drawn traffic of the clients.
 #[derive(Clone, Debug, Serialize)]
 pub struct Traffic {
-    /// Requests a second of customers that stay within their quotas, over all gateways.
+    /// Requests per second, over all gateways, of the customers that stay within their quotas.
     pub usual_rate: f64,
-    /// Number of such customers.
+    /// The number of these customers.
     pub usual_customers: u64,
-    /// Requests a second of one customer that asks for far more than its quota.
+    /// Requests per second of the one customer that asks for far more than its quota.
     pub greedy_rate: f64,
-    /// Gateways that a customer's requests come through.
+    /// The number of gateways that a customer's requests come through.
     pub spread: usize,
 }
 
-/// A run.
+/// Everything that is drawn for a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Scenario {
     /// The seed that it was drawn from.
     pub seed: u64,
-    /// Number of gateways.
+    /// The number of gateways.
     pub gateways: usize,
-    /// Of these, the ones whose listening socket is held by the platform: every `n`th one.
+    /// The platform holds the listening socket of every gateway whose index is a multiple of this.
     pub platform_every: usize,
-    /// Number of backends.
+    /// The number of backends.
     pub backends: usize,
-    /// Requests that a backend works on at once.
+    /// The number of requests that a backend works on at the same time.
     pub slots: usize,
-    /// Mean work of a request in milliseconds, on a warm backend.
+    /// The mean work of a request on a warm backend, in milliseconds.
     pub work_ms: f64,
-    /// Settings of the gateways.
+    /// The settings of the gateways.
     pub settings: Settings,
-    /// The clients.
+    /// The traffic of the clients.
     pub traffic: Traffic,
-    /// The troubles, in order of their beginnings.
+    /// The troubles in the order of their starts.
     pub troubles: Vec<Trouble>,
 }
 
-/// Units a second, and units at once, that the two plans allow.
+/// The plan of the customers that stay within their quotas: name, units per second, and units in a burst.
 pub const USUAL_PLAN: (&str, f64, f64) = ("basic", 40.0, 120.0);
-/// See `USUAL_PLAN`.
+/// The plan of the customer that asks for more than its quota: name, units per second, and units in a burst.
 pub const GREEDY_PLAN: (&str, f64, f64) = ("pro", 12.0, 24.0);
 /// The customer that asks for more than its quota.
 pub const GREEDY_CUSTOMER: u64 = 7;
 
-fn pick<T: Copy>(random: &mut Rng, from: &[T]) -> T {
-    from[random.usize(..from.len())]
+fn pick<T: Copy>(random: &mut Rng, values: &[T]) -> T {
+    values[random.usize(..values.len())]
 }
 
 impl Settings {
@@ -134,8 +134,8 @@
         }
     }
 
-    /// The object that a gateway is configured with.
-    pub fn json(&self, gateway: usize, gateways: usize) -> Value {
+    /// Returns the `settings` object of the configuration of one of the `gateways`.
+    pub fn to_gateway_json(&self, gateway: usize, gateways: usize) -> Value {
         let us = |ms: u64| ms * 1000;
         let class = |name: &str, deadline: u64, effect: &str, worth: f64, window: u64| {
             json!({"name": name, "aim_us": us(deadline / 2), "deadline_us": us(deadline), "effect": effect,
@@ -165,32 +165,32 @@
     }
 }
 
-/// What may be drawn.
+/// Restricts what is drawn.
 #[derive(Clone, Debug, Default)]
 pub struct DrawOptions {
-    /// Also troubles whose faults are filed.
-    pub filed: bool,
-    /// These kinds alone, where any are named.
+    /// Also draw kinds of trouble whose faults are filed and not yet fixed.
+    pub include_filed: bool,
+    /// Draw these kinds only; if empty, all.
     pub kinds: Vec<TroubleKind>,
-    /// Gateways at the most; 0: as drawn.
+    /// The maximum number of gateways; 0 for no limit.
     pub max_gateways: usize,
 }
 
 impl DrawOptions {
-    fn kinds(&self) -> Vec<TroubleKind> {
+    fn allowed_kinds(&self) -> Vec<TroubleKind> {
         if !self.kinds.is_empty() {
             return self.kinds.clone();
         }
-        TroubleKind::ALL.into_iter().filter(|kind| self.filed || !kind.filed()).collect()
+        TroubleKind::ALL.into_iter().filter(|kind| self.include_filed || !kind.is_filed()).collect()
     }
 }
 
 impl Scenario {
-    /// Draws a run. The same seed and choice give the same run.
-    pub fn draw(seed: u64, choice: &DrawOptions) -> Self {
+    /// Draws a run. The same seed and options give the same run.
+    pub fn draw(seed: u64, options: &DrawOptions) -> Self {
         let mut random = Rng::with_seed(seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ 0x51ED);
         let drawn = if random.f64() < 0.8 { random.usize(10..=14) } else { random.usize(15..=40) };
-        let gateways = if choice.max_gateways > 0 { drawn.min(choice.max_gateways) } else { drawn };
+        let gateways = if options.max_gateways > 0 { drawn.min(options.max_gateways) } else { drawn };
         let settings = Settings::draw(&mut random);
         let backends = random.usize(6..=9);
         let traffic = Traffic {
@@ -199,57 +199,62 @@
             greedy_rate: 3.0 * GREEDY_PLAN.1,
             spread: random.usize(2..=4.min(gateways)),
         };
-        // A third of what the backends can do is asked for: nearer to that, the gateways refuse some by themselves.
+        // The traffic takes a third of the backends' capacity. Closer to the capacity, the gateways shed some requests
+        // without any trouble.
         let slots = 2;
         let admitted = traffic.usual_rate + GREEDY_PLAN.1;
         let work_ms = 1e3 * slots as f64 * backends as f64 / (3.0 * admitted);
-        let troubles = draw_troubles(&mut random, &choice.kinds(), gateways, backends);
+        let troubles = draw_troubles(&mut random, &options.allowed_kinds(), gateways, backends);
         let platform_every = pick(&mut random, &[1, 2]);
         Scenario { seed, gateways, platform_every, backends, slots, work_ms, settings, traffic, troubles }
     }
 
-    /// Whether the platform holds the clients' socket of a gateway.
-    pub fn platform(&self, gateway: usize) -> bool {
+    /// Whether the platform holds the listening socket of a gateway.
+    pub fn has_platform_listener(&self, gateway: usize) -> bool {
         gateway.is_multiple_of(self.platform_every)
     }
 
-    /// The same with these troubles alone.
+    /// Returns the scenario with only the troubles at the indices `keep`.
     pub fn with_troubles(&self, keep: &[usize]) -> Self {
-        let troubles = keep.iter().filter_map(|at| self.troubles.get(*at).cloned()).collect();
+        let troubles = keep.iter().filter_map(|index| self.troubles.get(*index).cloned()).collect();
         Scenario { troubles, ..self.clone() }
     }
 
-    /// When the last trouble is over, from the start of the traffic.
+    /// The end of the last trouble, from the start of the traffic.
     pub fn troubles_end(&self) -> Duration {
-        self.troubles.iter().map(Trouble::ends).max().unwrap_or(CALM)
+        self.troubles.iter().map(Trouble::end).max().unwrap_or(TIME_BEFORE_TROUBLES)
     }
 }
 
-/// Two or three troubles at a time, at three times; most of those that belong together meet at one gateway.
+/// Draws three groups of two or three troubles. The troubles of a group start together, and most of them affect the
+/// same gateway.
 fn draw_troubles(random: &mut Rng, kinds: &[TroubleKind], gateways: usize, backends: usize) -> Vec<Trouble> {
     let mut troubles = Vec::new();
     for _ in 0..3 {
-        let anchor = CALM.as_millis() as u64 + random.u64(0..TROUBLE_SPAN_MS);
-        let end = anchor + random.u64(300..2_500);
-        let (victim, backend) = (random.usize(..gateways), random.usize(..backends));
+        let anchor = TIME_BEFORE_TROUBLES.as_millis() as u64 + random.u64(0..TROUBLE_SPAN_MS);
+        let group_end = anchor + random.u64(300..2_500);
+        let (group_gateway, group_backend) = (random.usize(..gateways), random.usize(..backends));
         for _ in 0..random.usize(2..=3) {
-            let begins = anchor + random.u64(0..=EDGE_MS);
-            let joint_end = random.bool();
-            let ends =
-                if joint_end { end + random.u64(0..=EDGE_MS) } else { begins + random.u64(200..2_500) };
-            let gateway = if random.f64() < 0.7 { victim } else { random.usize(..gateways) };
-            let backend = if random.f64() < 0.5 { backend } else { random.usize(..backends) };
+            let start = anchor + random.u64(0..=EDGE_SPREAD_MS);
+            let ends_with_group = random.bool();
+            let end = if ends_with_group {
+                group_end + random.u64(0..=EDGE_SPREAD_MS)
+            } else {
+                start + random.u64(200..2_500)
+            };
+            let gateway = if random.f64() < 0.7 { group_gateway } else { random.usize(..gateways) };
+            let backend = if random.f64() < 0.5 { group_backend } else { random.usize(..backends) };
             troubles.push(Trouble {
                 kind: pick(random, kinds),
                 gateway,
                 backend,
                 wide: random.f64() < 0.4,
-                begins: Duration::from_millis(begins),
-                lasts: Duration::from_millis(ends.saturating_sub(begins).max(200)),
-                lot: random.u64(..),
+                start: Duration::from_millis(start),
+                duration: Duration::from_millis(end.saturating_sub(start).max(200)),
+                seed: random.u64(..),
             });
         }
     }
-    troubles.sort_by_key(|trouble| trouble.begins);
+    troubles.sort_by_key(|trouble| trouble.start);
     troubles
 }
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -1,4 +1,4 @@
-//! The soak's side of the preloaded library.
+//! The soak's side of the preloaded library: writes the page that tells a gateway process which system calls fail.
 
 #[path = "../shim/src/control.rs"]
 mod control;
@@ -15,7 +15,7 @@
 pub struct ShimControl(MmapRaw);
 
 impl ShimControl {
-    /// A page in which nothing fails, in a new file.
+    /// Creates the file with a page on which no call fails. Fails if the file cannot be created or mapped.
     pub fn create(path: &Path) -> anyhow::Result<Self> {
         let file = File::options().read(true).write(true).create(true).truncate(true).open(path)?;
         file.set_len(CONTROL_BYTES as u64)?;
@@ -23,23 +23,23 @@
     }
 
     fn page(&self) -> &Control {
-        // SAFETY: the mapping is as long as the page at the least, aligned to it, and lives as long as this; all of
-        // it is atomic words, and the other side only reads.
+        // SAFETY: the mapping is at least as long as `Control`, aligned for it, and lives as long as `self`. All its
+        // fields are atomic, and the other side only reads them.
         #[allow(unsafe_code)]
         unsafe {
             &*self.0.as_ptr().cast::<Control>()
         }
     }
 
-    /// Makes a call fail so often in a thousand with this error.
+    /// Makes `per_mille` in a thousand calls fail with `errno`; 0 lets all calls succeed.
     pub fn set(&self, point: FaultPoint, per_mille: u32, errno: i32) {
         let fault = &self.page().faults[point as usize];
         fault.errno.store(errno, Relaxed);
         fault.per_mille.store(per_mille, Relaxed);
     }
 
-    /// Steps the wall clock, in microseconds.
-    pub fn step_wall_clock(&self, by: i64) {
-        self.page().wall_clock_offset.store(by, Relaxed);
+    /// Sets the offset of the process's wall clock in microseconds.
+    pub fn step_wall_clock(&self, offset_us: i64) {
+        self.page().wall_clock_offset.store(offset_us, Relaxed);
     }
 }
--- a/soak/src/shrink.rs
+++ b/soak/src/shrink.rs
@@ -1,63 +1,67 @@
-//! Cuts a broken run down to the troubles that it needs.
+//! Reduces a broken run to the troubles that are needed to break it.
 
-use crate::batch::play_all;
-use crate::run::{Kept, Report};
+use crate::batch::run_all;
+use crate::run::{Report, RunPaths};
 use crate::scenario::Scenario;
 use crate::world::MAX_SLOTS;
 use std::collections::BTreeSet;
 
-/// A run that broke by a narrow margin is played this often before it counts as held.
-const PLAYS: usize = 2;
+/// How often a subset of the troubles is run before it counts as held: a run that breaks by a narrow margin does not
+/// break each time.
+const RUNS_PER_SUBSET: usize = 2;
 
-fn invariants(report: &Report) -> BTreeSet<crate::oracle::Invariant> {
+fn broken_invariants(report: &Report) -> BTreeSet<crate::oracle::Invariant> {
     report.broken.iter().map(|b| b.invariant).collect()
 }
 
-/// Takes troubles out one at a time while any invariant that broke at first still breaks. `replay` names the command that
-/// plays the run with these troubles alone. True where nothing broke.
+/// Removes troubles one at a time while any invariant that broke in the first runs still breaks, and prints the command
+/// for the smallest subset found. `replay` returns the command that repeats the run with the troubles at these indices.
+///
+/// Returns true if no invariant broke in the first runs. Fails if a run cannot be executed.
 pub async fn shrink(
     drawn: &Scenario,
-    kept: &Kept,
+    paths: &RunPaths,
     replay: impl Fn(&[usize]) -> String,
 ) -> anyhow::Result<bool> {
-    let mut places: Vec<usize> = (0..drawn.troubles.len()).collect();
-    let first = play_subsets(drawn, std::slice::from_ref(&places), kept, &replay).await?;
-    let broke: BTreeSet<_> = first.iter().flat_map(invariants).collect();
-    if broke.is_empty() {
-        println!("seed {} held in {PLAYS} plays", drawn.seed);
+    let mut indices: Vec<usize> = (0..drawn.troubles.len()).collect();
+    let first = run_subsets(drawn, std::slice::from_ref(&indices), paths, &replay).await?;
+    let first_broken: BTreeSet<_> = first.iter().flat_map(broken_invariants).collect();
+    if first_broken.is_empty() {
+        println!("seed {} held in {RUNS_PER_SUBSET} runs", drawn.seed);
         return Ok(true);
     }
     loop {
-        let subsets: Vec<Vec<usize>> = places
+        let subsets: Vec<Vec<usize>> = indices
             .iter()
-            .map(|left_out| places.iter().copied().filter(|place| place != left_out).collect())
+            .map(|removed| indices.iter().copied().filter(|index| index != removed).collect())
             .collect();
-        let reports = play_subsets(drawn, &subsets, kept, &replay).await?;
-        let still = |subset: &&Vec<usize>| {
+        let reports = run_subsets(drawn, &subsets, paths, &replay).await?;
+        let still_breaks = |subset: &&Vec<usize>| {
             let command = replay(subset);
-            let plays = reports.iter().filter(|report| report.replay == command);
-            plays.flat_map(invariants).any(|invariant| broke.contains(&invariant))
+            let runs = reports.iter().filter(|report| report.replay == command);
+            runs.flat_map(broken_invariants).any(|invariant| first_broken.contains(&invariant))
         };
-        match subsets.iter().find(still) {
-            Some(subset) if !subset.is_empty() => places = subset.clone(),
+        match subsets.iter().find(still_breaks) {
+            Some(subset) if !subset.is_empty() => indices = subset.clone(),
             _ => break,
         }
     }
-    println!("broken still with: {}", replay(&places));
+    println!("still broken with: {}", replay(&indices));
     Ok(false)
 }
 
-async fn play_subsets(
+/// Runs each subset of the troubles `RUNS_PER_SUBSET` times.
+async fn run_subsets(
     drawn: &Scenario,
     subsets: &[Vec<usize>],
-    kept: &Kept,
+    paths: &RunPaths,
     replay: &impl Fn(&[usize]) -> String,
 ) -> anyhow::Result<Vec<Report>> {
-    let plays = subsets.iter().flat_map(|subset| std::iter::repeat_n(subset, PLAYS));
-    let scenarios = plays.map(|subset| (drawn.with_troubles(subset), replay(subset))).collect();
-    let tell = |_: &Scenario, report: &Report| {
+    let runs = subsets.iter().flat_map(|subset| std::iter::repeat_n(subset, RUNS_PER_SUBSET));
+    let scenarios = runs.map(|subset| (drawn.with_troubles(subset), replay(subset))).collect();
+    let print_report = |_: &Scenario, report: &Report| {
         let broken: Vec<_> = report.broken.iter().map(|b| format!("{:?}", b.invariant)).collect();
         println!("{} {}: {}", report.verdict, report.replay, broken.join(" "));
     };
-    play_all(scenarios, kept, MAX_SLOTS - 1, tell).await
+    run_all(scenarios, paths, MAX_SLOTS - 1, print_report).await
 }
--- a/soak/src/trouble.rs
+++ b/soak/src/trouble.rs
@@ -1,4 +1,4 @@
-//! The troubles that a run can have.
+//! The kinds of trouble, which are the faults that a run can inject.
 
 use serde::Serialize;
 use std::time::Duration;
@@ -7,25 +7,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TroubleKind {
-    /// SIGTERM to a gateway, and a new process behind it.
+    /// A gateway gets SIGTERM and is replaced by a new process.
     Terminate,
-    /// SIGKILL to a gateway, and a new process behind it.
+    /// A gateway gets SIGKILL and is replaced by a new process.
     Kill,
-    /// Three SIGHUPs in a row; discovery and the counter move each time.
+    /// A gateway gets SIGHUP three times in a row; discovery and the counter change their addresses each time.
     Reload,
-    /// SIGHUP and SIGTERM within 30 ms, in either order.
+    /// A gateway gets SIGHUP and SIGTERM within 30 ms, in either order.
     ReloadAndTerminate,
-    /// SIGSTOP for up to 0.15 s, several times.
+    /// A gateway is stopped with SIGSTOP for up to 0.15 s, several times.
     Pause,
-    /// A new process takes over the listener.
+    /// A new process takes over a gateway's listening socket.
     Upgrade,
-    /// A new process is killed while it takes over; then another one does.
+    /// A new process is killed while it takes over; afterwards another one takes over.
     FailedUpgrade,
-    /// An operator takes a backend out at a gateway, and back in at the end.
+    /// An operator disables a backend at a gateway and enables it again at the end.
     Ban,
     /// An operator drains a gateway for a while.
     OperatorDrain,
-    /// A gateway is killed and starts under a wall clock that is off.
+    /// A gateway is killed and starts with a wall clock that is wrong.
     WallClock,
     /// `accept` fails for a moment.
     AcceptFails,
@@ -33,76 +33,76 @@
     SocketFails,
     /// A process starts while `socket` and `bind` fail.
     StartFails,
-    /// `connect` fails for reasons of this machine.
+    /// `connect` fails with errors of the local machine.
     ConnectFails,
-    /// Calls return EINTR.
+    /// System calls are interrupted (EINTR).
     Interrupted,
-    /// Reads come short.
+    /// Reads from sockets return fewer bytes than have arrived.
     ShortReads,
-    /// Writes come short.
+    /// Writes to sockets take fewer bytes than given.
     ShortWrites,
-    /// Reads fail as on a path that broke.
+    /// Reads from sockets fail as if the network path were broken.
     PathBreaks,
-    /// Nobody reads the log.
+    /// The log is not read.
     LogStalls,
-    /// The reader of the log has gone.
+    /// The reader of the log closes the pipe.
     LogCloses,
     /// The log's disk is full.
     LogFull,
-    /// A gateway's links to some backends fall silent.
+    /// A gateway's links to some backends pass nothing, without an error.
     LinkSilent,
     /// A gateway's connections to some backends are reset.
     LinkResets,
-    /// Answers of some backends come late.
+    /// Answers of some backends are delayed.
     LinkDelays,
-    /// Requests get to some backends, and nothing comes back.
+    /// Requests reach some backends, but no answer comes back.
     LinkOneWay,
-    /// Discovery answers nothing.
+    /// Discovery does not answer.
     DiscoverySilent,
     /// Discovery refuses connections.
     DiscoveryDown,
     /// Discovery answers late.
     DiscoverySlow,
-    /// Discovery turns most calls away.
+    /// Discovery rejects most calls.
     DiscoveryCrowded,
-    /// Discovery tells whole lists, without the backends that drain.
+    /// Discovery sends complete lists, without the backends that drain.
     DiscoveryWholeLists,
     /// The counter refuses connections.
     CounterAway,
-    /// The counter takes most of a call's time.
+    /// The counter takes half of the time limit of a call to answer.
     CounterSlow,
-    /// The counter answers after a call's time.
+    /// The counter answers after the time limit of a call.
     CounterLate,
-    /// The counter answers nothing.
+    /// The counter does not answer.
     CounterSilent,
-    /// A backend takes requests and answers none.
+    /// A backend accepts requests and does not answer.
     BackendHangs,
-    /// A backend closes idle connections after some milliseconds.
+    /// A backend closes connections that were idle for some milliseconds.
     BackendClosesIdle,
-    /// A backend resets connections under requests.
+    /// A backend resets connections with requests in progress.
     BackendResets,
-    /// A backend answers errors.
+    /// A backend answers with errors.
     BackendErrs,
-    /// A backend drains, and goes.
+    /// A backend drains and stops.
     BackendDrains,
-    /// A backend dies, and comes back cold.
+    /// A backend stops without a drain and starts again, cold.
     BackendRestarts,
-    /// Connections to a backend do not come up, or come up late.
+    /// Connections to a backend are established late or not at all.
     BackendConnectsLate,
-    /// Clients close their connections while they wait.
+    /// Clients close their connections while they wait for an answer.
     ClientsLeave,
-    /// Clients stop in the middle of a request and stay.
+    /// Clients stop in the middle of a request and keep the connection open.
     ClientsStop,
-    /// Clients send much at once and go.
+    /// Clients send many requests at once and close the connection.
     ClientsFlood,
-    /// Clients have very little time.
+    /// Clients state very short time limits.
     ClientsHurry,
-    /// Clients send and ask for long bodies.
+    /// Clients send long bodies or ask for long answers.
     ClientsLongBodies,
 }
 
 impl TroubleKind {
-    /// All kinds.
+    /// All kinds. The order determines what a seed draws.
     pub const ALL: [Self; 46] = [
         Self::Terminate,
         Self::Kill,
@@ -152,49 +152,52 @@
         Self::ClientsLongBodies,
     ];
 
-    /// Troubles whose faults are filed and not mended: they are drawn only where that is asked for.
-    pub fn filed(self) -> bool {
+    /// Whether the kind exposes a fault that is filed and not yet fixed. Such kinds are drawn only on request.
+    pub fn is_filed(self) -> bool {
         self == Self::WallClock
     }
 
-    /// Its name in reports.
+    /// Returns the name of the kind in reports and options.
     pub fn name(self) -> String {
         serde_json::to_value(self).ok().and_then(|v| v.as_str().map(str::to_owned)).unwrap_or_default()
     }
 
-    /// The kind of that name.
-    pub fn named(name: &str) -> Option<Self> {
+    /// Returns the kind with this name.
+    pub fn from_name(name: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.name() == name)
     }
 }
 
-/// One trouble of a run.
+/// One trouble (injected fault) of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Trouble {
-    /// What happens.
+    /// The kind of trouble.
     pub kind: TroubleKind,
-    /// The gateway that it happens to, where it happens to one.
+    /// The index of the affected gateway, for kinds that affect one.
     pub gateway: usize,
-    /// The backend, likewise.
+    /// The index of the affected backend, for kinds that affect one.
     pub backend: usize,
-    /// It happens to all gateways, or to half of the backends.
+    /// It affects all gateways, or a third of the backends, for kinds that can affect several.
     pub wide: bool,
-    /// When it begins, from the start of the traffic.
-    pub begins: Duration,
-    /// How long it lasts.
-    pub lasts: Duration,
-    /// A number that it draws its particulars from.
-    pub lot: u64,
+    /// The time from the start of the traffic to the start of the trouble.
+    #[serde(rename = "begins")]
+    pub start: Duration,
+    /// How long the trouble lasts.
+    #[serde(rename = "lasts")]
+    pub duration: Duration,
+    /// The seed that the details of the trouble are drawn from.
+    #[serde(rename = "lot")]
+    pub seed: u64,
 }
 
 impl Trouble {
-    /// When it is over.
-    pub fn ends(&self) -> Duration {
-        self.begins + self.lasts
+    /// Returns the end of the trouble, from the start of the traffic.
+    pub fn end(&self) -> Duration {
+        self.start + self.duration
     }
 
-    /// Whether two troubles are there at the same time, or their edges are close.
+    /// Whether two troubles overlap, or the gap between them is shorter than `slack`.
     pub fn overlaps(&self, other: &Trouble, slack: Duration) -> bool {
-        self.begins < other.ends() + slack && other.begins < self.ends() + slack
+        self.start < other.end() + slack && other.start < self.end() + slack
     }
 }
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -1,8 +1,8 @@
-//! Everything of one run.
+//! The test environment of one run: the gateways, the stand-ins and the clients.
 
 use crate::client::Clients;
 use crate::gateway::GatewayHost;
-use crate::process::Places;
+use crate::process::ProcessPaths;
 use crate::scenario::Scenario;
 use crate::stand_in::backend::Backend;
 use crate::stand_in::counter::Counter;
@@ -13,51 +13,52 @@
 use std::sync::atomic::AtomicU64;
 use std::sync::Arc;
 
-/// Runs of one process that can go on at once.
+/// The maximum number of runs that one process executes at the same time.
 pub const MAX_SLOTS: usize = 5;
-/// Addresses of one run.
-const SLOT_ADDRESSES: usize = 50;
+/// The number of addresses that are reserved for a run.
+const ADDRESSES_PER_SLOT: usize = 50;
 
-/// The gateways and all that stands around them.
+/// The gateways of a run and everything that they are connected to.
 pub struct World {
-    /// What was drawn.
+    /// The scenario of the run.
     pub scenario: Arc<Scenario>,
-    /// What is seen.
+    /// The record of events.
     pub trace: Arc<Trace>,
-    /// Programs and files.
-    pub places: Places,
+    /// The programs and the folder.
+    pub paths: ProcessPaths,
     /// The gateways.
     pub gateways: Vec<GatewayHost>,
     /// The backends.
     pub backends: Vec<Arc<Backend>>,
-    /// Held by whoever ends and starts a backend.
+    /// Held while a backend is stopped and started, one for each backend.
     pub backend_lifecycles: Vec<tokio::sync::Mutex<()>>,
-    /// Discovery.
+    /// The discovery service.
     pub discovery: Discovery,
-    /// The counter.
+    /// The counter service.
     pub counter: Counter,
     /// The clients.
     pub clients: Arc<Clients>,
 }
 
-/// A gateway's address, which no other run on this machine uses at the same time.
-fn address(slot: usize, gateway: usize) -> IpAddr {
+/// The loopback address of a gateway. It contains the process id and the slot, so that no other run on this machine uses
+/// it at the same time.
+fn gateway_ip(slot: usize, gateway: usize) -> IpAddr {
     let pid = std::process::id();
-    let last = slot * SLOT_ADDRESSES + gateway + 1;
+    let last = slot * ADDRESSES_PER_SLOT + gateway + 1;
     IpAddr::V4(Ipv4Addr::new(127, 128 | (pid >> 8 & 0x7f) as u8, pid as u8, last as u8))
 }
 
 impl World {
-    /// Sets all of it up; no gateway runs yet.
-    pub async fn set_up(scenario: Scenario, places: Places, slot: usize) -> anyhow::Result<Self> {
+    /// Sets up the environment without starting a gateway. Fails if a listener or a folder cannot be created.
+    pub async fn set_up(scenario: Scenario, paths: ProcessPaths, slot: usize) -> anyhow::Result<Self> {
         let (scenario, trace) = (Arc::new(scenario), Arc::new(Trace::default()));
-        let ips: Vec<IpAddr> = (0..scenario.gateways).map(|gateway| address(slot, gateway)).collect();
+        let ips: Vec<IpAddr> = (0..scenario.gateways).map(|gateway| gateway_ip(slot, gateway)).collect();
         let attempts = Arc::new(AtomicU64::new(0));
         let (mut backends, mut addresses) = (Vec::new(), vec![Vec::new(); ips.len()]);
         for index in 0..scenario.backends {
-            let (backend, at) =
+            let (backend, gateway_addresses) =
                 Backend::start(index, &scenario, &ips, trace.clone(), attempts.clone()).await?;
-            addresses.iter_mut().zip(at).for_each(|(of_gateway, at)| of_gateway.push(at));
+            addresses.iter_mut().zip(gateway_addresses).for_each(|(list, address)| list.push(address));
             backends.push(backend);
         }
         let registry = Registry::new(trace.clone(), addresses);
@@ -66,18 +67,18 @@
         let limits = json!({"cores": 1.0, "memory_mb": scenario.settings.memory_mb, "sockets": scenario.settings.sockets});
         let mut gateways = Vec::new();
         for (index, ip) in ips.iter().enumerate() {
-            let settings = scenario.settings.json(index, scenario.gateways);
-            let platform = scenario.platform(index);
+            let settings = scenario.settings.to_gateway_json(index, scenario.gateways);
+            let platform = scenario.has_platform_listener(index);
             let seed = scenario.seed;
-            gateways.push(GatewayHost::new(index, *ip, platform, &places, settings, limits.clone(), seed)?);
+            gateways.push(GatewayHost::new(index, *ip, platform, &paths, settings, limits.clone(), seed)?);
         }
-        let listens: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.address).collect();
-        let clients = Clients::new(trace.clone(), scenario.clone(), &listens);
+        let listen_addresses: Vec<SocketAddr> = gateways.iter().map(|gateway| gateway.address).collect();
+        let clients = Clients::new(trace.clone(), scenario.clone(), &listen_addresses);
         let backend_lifecycles = backends.iter().map(|_| tokio::sync::Mutex::default()).collect();
         Ok(World {
             scenario,
             trace,
-            places,
+            paths,
             gateways,
             backends,
             backend_lifecycles,
