--- a/soak/src/batch.rs
+++ b/soak/src/batch.rs
@@ -8,8 +8,8 @@
 
 /// Executes the scenarios, each with its replay command, at most `jobs` at a time.
 ///
-/// Calls `report_run` for each run as it ends and returns the reports in that order. Fails with the first run that
-/// could not be set up, and when a run was lost because its task ended early.
+/// Calls `report_run` for each run as it ends and returns the reports in that order. Fails with the first error of a
+/// run, and if a run was not executed to its end because its task panicked.
 pub async fn run_all(
     scenarios: Vec<(Scenario, String)>,
     paths: &RunPaths,
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -30,26 +30,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Admission {
-    /// It sends none.
+    /// No request is sent.
     Closed,
-    /// It sends requests over existing connections only.
+    /// Requests are sent over existing connections only.
     ExistingConnections,
-    /// It also opens new connections.
+    /// Requests are sent over existing and new connections.
     Open,
 }
 
-/// How often clients deviate from usual requests, each in a thousand requests.
+/// The rates of unusual client behavior, each per thousand draws.
 #[derive(Default)]
 pub struct BehaviorRates {
-    /// They close the connection while they wait for the answer.
+    /// Clients that close the connection while they wait for the answer.
     pub leave_per_mille: AtomicU32,
-    /// They stop in the middle of a request and keep the connection open.
+    /// Clients that stop in the middle of a request and keep the connection open.
     pub stop_per_mille: AtomicU32,
-    /// They send many requests at once and close the connection.
+    /// Clients that send many requests at once and close the connection.
     pub flood_per_mille: AtomicU32,
-    /// They state a very short time limit.
+    /// Clients that state a very short time limit.
     pub hurry_per_mille: AtomicU32,
-    /// They send long bodies or ask for long answers.
+    /// Clients that send long bodies or ask for long answers.
     pub long_bodies_per_mille: AtomicU32,
 }
 
@@ -57,21 +57,21 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Behavior {
     Usual,
-    /// It closes the connection after a while, some of the time with a reset.
+    /// The client closes the connection after a while, with a reset if `resets` is set.
     Leaves {
         after: Duration,
         resets: bool,
     },
-    /// It states a very short time limit.
+    /// The client states a very short time limit.
     ShortTimeout,
-    /// It sends the request over a connection that was idle for about as long as a gateway keeps one.
+    /// The client sends the request over a connection that was idle for about as long as a gateway keeps one.
     ReusesIdle,
-    /// It sends a long body.
+    /// The client sends a long body; if `slowly` is set, with a pause after each piece.
     Uploads {
         bytes: usize,
         slowly: bool,
     },
-    /// It asks for a long answer.
+    /// The client asks for a long answer, whose pieces the backend sends with this pause.
     Downloads {
         bytes: usize,
         pause_ms: u64,
@@ -94,7 +94,7 @@
     next_id: AtomicU64,
     /// Requests in flight.
     in_flight: AtomicUsize,
-    /// How often they deviate from usual requests.
+    /// The rates of unusual behavior.
     pub behavior_rates: BehaviorRates,
     /// Set to end the traffic.
     pub stopped: AtomicBool,
@@ -211,6 +211,7 @@
         (first, self.scenario.traffic.spread)
     }
 
+    /// Draws the behavior of a client; the rates are those at the time.
     fn draw_behavior(&self, random: &mut Rng, effect: Effect) -> Behavior {
         let mut remaining = random.u32(..1000);
         let mut drawn = |rate: &AtomicU32| {
@@ -472,8 +473,7 @@
     }
 
     /// Runs clients that send a request over a connection that was idle for `idle_time` or slightly longer, until
-    /// `well_formed_only` is set. Near a gateway's idle timeout, the request may
-    /// cross the close of the connection.
+    /// `well_formed_only` is set. Near a gateway's idle timeout, the request may cross the close of the connection.
     pub async fn run_idle_reuse(self: Arc<Self>, idle_time: Duration, seed: u64) {
         let mut random = Rng::with_seed(seed);
         while !self.well_formed_only.load(Ordering::Relaxed) {
@@ -509,7 +509,7 @@
     matches!(e.kind(), ErrorKind::ConnectionReset | ErrorKind::BrokenPipe)
 }
 
-/// Tells a close over unread bytes, which a reset follows, from one after the request was read.
+/// Returns `Unread` if the gateway closed the connection over unread bytes, which a reset follows, else `Closed`.
 async fn classify_close(stream: &mut PlainStream) -> ClientEnd {
     sleep(RESET_WAIT).await;
     match stream.stream.take_error() {
--- a/soak/src/director.rs
+++ b/soak/src/director.rs
@@ -19,13 +19,14 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::{sleep, Instant};
 
-/// System calls that fail for a while, in a thousand.
+/// The rate of failing system calls, per thousand calls.
 const SOME_PER_MILLE: u32 = 200;
-/// System calls that fail while a machine has run out of a resource, in a thousand.
+/// The rate of failing system calls while the machine has run out of a resource, per thousand calls.
 const MANY_PER_MILLE: u32 = 500;
-/// The minimum time between the end of a drained backend and its next start.
+/// The minimum time between the stop of a drained backend and its next start.
 const MIN_RESTART_PAUSE: Duration = Duration::from_millis(200);
 
+/// The Unix time in milliseconds.
 fn unix_ms() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.as_millis() as u64
@@ -94,6 +95,7 @@
         Duration::from_millis(self.random.u64(..=max))
     }
 
+    /// Applies the trouble according to its kind.
     async fn execute(&mut self) -> anyhow::Result<()> {
         match self.trouble.kind {
             TroubleKind::Terminate => self.gateway().restart(self.world).await?,
@@ -208,7 +210,7 @@
         reloaded.and(restarted)
     }
 
-    /// Stops the processes for 50 to 140 ms, again and again.
+    /// Repeatedly stops the processes for 50 to 140 ms, with pauses of 100 to 300 ms.
     async fn pause(&mut self) {
         while Instant::now() < self.end {
             let lasted = Duration::from_millis(50) + self.random_ms(90);
@@ -287,11 +289,10 @@
 
     /// Kills the gateway and starts it with a wall clock that is wrong.
     async fn wall_clock(&mut self) -> anyhow::Result<()> {
-        /// In microseconds.
-        const SECOND: i64 = 1_000_000;
-        let offsets_us = [-3600 * SECOND, -7 * SECOND, 7 * SECOND, 3600 * SECOND];
+        const SECOND_US: i64 = 1_000_000;
+        let offsets_us = [-3600 * SECOND_US, -7 * SECOND_US, 7 * SECOND_US, 3600 * SECOND_US];
         let offset_us = offsets_us[self.random.usize(..offsets_us.len())];
-        self.kill(|shim| shim.step_wall_clock(offset_us)).await
+        self.kill(|shim| shim.set_wall_clock_offset(offset_us)).await
     }
 
     /// Kills the gateway and starts it while `socket` and `bind` fail, until the end of the trouble.
@@ -302,14 +303,14 @@
         gateway.running().iter().for_each(|process| process.kill());
         sleep(pause).await;
         let fail = |shim: &crate::shim::ShimControl| {
-            shim.set(FaultPoint::Socket, MANY_PER_MILLE, libc::ENFILE);
-            shim.set(FaultPoint::Bind, MANY_PER_MILLE, libc::EADDRINUSE);
+            shim.set_fault(FaultPoint::Socket, MANY_PER_MILLE, libc::ENFILE);
+            shim.set_fault(FaultPoint::Bind, MANY_PER_MILLE, libc::EADDRINUSE);
         };
         let restore = async {
             self.wait_for_end().await;
             for process in gateway.running() {
-                process.shim.set(FaultPoint::Socket, 0, 0);
-                process.shim.set(FaultPoint::Bind, 0, 0);
+                process.shim.set_fault(FaultPoint::Socket, 0, 0);
+                process.shim.set_fault(FaultPoint::Bind, 0, 0);
             }
         };
         let (started, ()) = tokio::join!(gateway.start_and_admit(self.world, fail), restore);
@@ -328,9 +329,9 @@
         };
         let errno = errors[self.random.usize(..errors.len())];
         let processes = self.processes();
-        processes.iter().for_each(|process| process.shim.set(point, per_mille, errno));
+        processes.iter().for_each(|process| process.shim.set_fault(point, per_mille, errno));
         self.wait_for_end().await;
-        processes.iter().for_each(|process| process.shim.set(point, 0, 0));
+        processes.iter().for_each(|process| process.shim.set_fault(point, 0, 0));
     }
 
     /// Makes receiving, sending and waiting calls fail with EINTR.
@@ -338,11 +339,11 @@
         let points = [FaultPoint::Receive, FaultPoint::Send, FaultPoint::Wait];
         let processes = self.processes();
         for process in &processes {
-            points.iter().for_each(|point| process.shim.set(*point, SOME_PER_MILLE, libc::EINTR));
+            points.iter().for_each(|point| process.shim.set_fault(*point, SOME_PER_MILLE, libc::EINTR));
         }
         self.wait_for_end().await;
         for process in &processes {
-            points.iter().for_each(|point| process.shim.set(*point, 0, 0));
+            points.iter().for_each(|point| process.shim.set_fault(*point, 0, 0));
         }
     }
 
@@ -372,6 +373,7 @@
         set(LinkMode::Open);
     }
 
+    /// Repeatedly resets the connections over the affected links.
     async fn reset_links(&mut self) {
         while Instant::now() < self.end {
             for backend in self.backends() {
@@ -425,9 +427,9 @@
     }
 
     async fn backend_closes_idle(&mut self) {
-        let idle = Duration::from_millis(5) + self.random_ms(150);
+        let idle_timeout = Duration::from_millis(5) + self.random_ms(150);
         for backend in self.backends() {
-            self.world.backends[backend].close_idle_after(Some(idle));
+            self.world.backends[backend].close_idle_after(Some(idle_timeout));
         }
         self.wait_for_end().await;
         for backend in self.backends() {
--- a/soak/src/gateway.rs
+++ b/soak/src/gateway.rs
@@ -49,22 +49,22 @@
 }
 
 impl GatewayHost {
-    /// Creates a gateway without a process. `platform` tells whether the platform holds its listening socket; `limits`
-    /// and `settings` are parts of its configuration.
+    /// Creates a gateway without a process. `platform_listener` tells whether the platform holds its listening
+    /// socket; `settings` and `limits` are parts of its configuration.
     ///
     /// Fails if the address cannot be bound or the folder cannot be created.
     pub fn new(
         index: GatewayIndex,
         ip: IpAddr,
-        platform: bool,
-        places: &ProcessPaths,
+        platform_listener: bool,
+        paths: &ProcessPaths,
         settings: Value,
         limits: Value,
         seed: u64,
     ) -> anyhow::Result<Self> {
         let address = SocketAddr::new(ip, CLIENT_PORT);
-        let listener = if platform { Some(TcpListener::bind(address)?) } else { None };
-        let folder = places.folder.join(format!("g{index}"));
+        let listener = if platform_listener { Some(TcpListener::bind(address)?) } else { None };
+        let folder = paths.folder.join(format!("g{index}"));
         std::fs::create_dir_all(&folder)?;
         Ok(GatewayHost {
             index,
@@ -87,6 +87,7 @@
         self.listener.is_some()
     }
 
+    /// Writes the configuration file with the present addresses of discovery and the counter.
     fn write_config(&self, discovery: &Discovery, counter: &Counter) -> anyhow::Result<()> {
         let config = json!({
             "name": format!("n{}", self.index), "listen": self.address,
@@ -148,7 +149,8 @@
         process.wait_for_exit(Duration::from_secs(5)).await;
     }
 
-    /// Replaces the current process: the front stops opening connections shortly after SIGTERM.
+    /// Stops the current process and starts a new one. The front notices SIGTERM after a delay and then opens no more
+    /// connections to the old process.
     pub async fn restart(&self, world: &World) -> anyhow::Result<()> {
         let _guard = self.lifecycle.lock().await;
         let Some(process) = self.current() else { return Ok(()) };
@@ -158,7 +160,7 @@
         self.start_and_admit(world, |_| {}).await
     }
 
-    /// Starts a process when no other one runs, and admits clients once it is ready.
+    /// Starts a process after its predecessor is gone, and admits clients once the new process is ready.
     pub async fn start_and_admit(
         &self,
         world: &World,
--- a/soak/src/link.rs
+++ b/soak/src/link.rs
@@ -73,7 +73,8 @@
         LinkStream { stream, mode, resets, buffer: Vec::new() }
     }
 
-    /// Writes all bytes, after the link's delay and while the link passes answers. Fails when the connection is reset.
+    /// Writes all bytes. Waits for the link's delay first, and then until the link passes answers. Fails when the
+    /// connection is reset.
     pub async fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mode = *self.mode.borrow();
         if let LinkMode::Delayed(delay) = mode {
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -132,17 +132,17 @@
     ///
     /// Fails if the control page, the pipe for the log or the process cannot be created.
     pub fn start(
-        places: &ProcessPaths,
+        paths: &ProcessPaths,
         launch: &Launch<'_>,
         trace: Arc<Trace>,
         prepare: impl FnOnce(&ShimControl),
     ) -> anyhow::Result<Arc<Self>> {
-        let control = places.folder.join(format!("{}.shim", launch.ops.to_string().replace(':', "-")));
+        let control = paths.folder.join(format!("{}.shim", launch.ops.to_string().replace(':', "-")));
         let shim = ShimControl::create(&control)?;
         prepare(&shim);
         let (reader, writer) = std::io::pipe()?;
         nix::fcntl::fcntl(&writer, nix::fcntl::FcntlArg::F_SETPIPE_SZ(LOG_PIPE_CAPACITY_BYTES))?;
-        let mut command = Command::new(&places.program);
+        let mut command = Command::new(&paths.program);
         command
             .env("NODE_CONFIG", launch.config)
             .env("NODE_NAME", format!("n{}", launch.gateway))
@@ -151,7 +151,7 @@
             .env("NODE_OPS", launch.ops.to_string())
             .env("NODE_LOG", "debug")
             .env("TMPDIR", launch.folder)
-            .env("LD_PRELOAD", &places.shim)
+            .env("LD_PRELOAD", &paths.shim)
             .env(CONTROL_VARIABLE, &control)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -42,7 +42,7 @@
     pub refused: usize,
     /// Requests answered with any other status.
     pub failed: usize,
-    /// Requests that ended without a whole answer.
+    /// Requests that got no whole answer.
     pub otherwise: usize,
     /// The fraction of the requests within their quotas that was served during the measurement after the recovery time.
     pub recovered: Option<f64>,
@@ -165,6 +165,7 @@
 /// Measures the delay of the soak's own timers.
 #[derive(Default)]
 struct LagMeter {
+    /// The longest delay so far, in microseconds.
     max_us: AtomicU64,
     stop: AtomicBool,
 }
@@ -222,8 +223,8 @@
     let failed = status(&|s| !matches!(s, 200 | 429 | 503));
     let describe = |t: &crate::trouble::Trouble| {
         let wide = if t.wide { " wide" } else { "" };
-        let (begins, lasts) = (t.start.as_millis(), t.duration.as_millis());
-        format!("{} g{} b{}{wide} {begins}+{lasts}", t.kind.name(), t.gateway, t.backend)
+        let (start_ms, duration_ms) = (t.start.as_millis(), t.duration.as_millis());
+        format!("{} g{} b{}{wide} {start_ms}+{duration_ms}", t.kind.name(), t.gateway, t.backend)
     };
     Report {
         seed: scenario.seed,
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -33,7 +33,8 @@
     pub max_attempts: u32,
     /// The time limit for a connection to a backend, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// The time, in milliseconds, after a gateway learns of a backend's drain until it may send nothing new to it.
+    /// The time for which a gateway may still send new requests to a backend after it learns of the backend's drain, in
+    /// milliseconds.
     pub drain_grace_ms: u64,
     /// The time within which a request with an idempotency key may be repeated, in milliseconds.
     pub key_window_ms: u64,
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -31,15 +31,16 @@
         }
     }
 
-    /// Makes `per_mille` in a thousand calls fail with `errno`; 0 lets all calls succeed.
-    pub fn set(&self, point: FaultPoint, per_mille: u32, errno: i32) {
+    /// Makes `per_mille` in a thousand calls fail with `errno`, or return less than asked for at the points for short
+    /// calls; 0 lets all calls succeed.
+    pub fn set_fault(&self, point: FaultPoint, per_mille: u32, errno: i32) {
         let fault = &self.page().faults[point as usize];
         fault.errno.store(errno, Relaxed);
         fault.per_mille.store(per_mille, Relaxed);
     }
 
     /// Sets the offset of the process's wall clock in microseconds.
-    pub fn step_wall_clock(&self, offset_us: i64) {
+    pub fn set_wall_clock_offset(&self, offset_us: i64) {
         self.page().wall_clock_offset.store(offset_us, Relaxed);
     }
 }
