--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{read_body, read_head, Buffered, PlainStream};
 use crate::scenario::{Scenario, GREEDY_CUSTOMER, GREEDY_PLAN, USUAL_PLAN};
-use crate::trace::{ClientEnd, Effect, Event, RequestId, SentRequest, Trace};
+use crate::trace::{ClientOutcome, Effect, Event, RequestId, SentRequest, Trace};
 use fastrand::Rng;
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -270,7 +270,7 @@
     async fn send_with_retry(&self, planned: PlannedRequest, mut random: Rng) {
         let Some((stream, used)) = self.reuse_or_connect(planned.gateway, &mut random).await else { return };
         let end = self.send(&planned, stream, &mut random).await;
-        if end == ClientEnd::Unread && used && self.may_connect(planned.gateway) {
+        if end == ClientOutcome::Unread && used && self.may_connect(planned.gateway) {
             if let Some(stream) = self.connect(planned.gateway).await {
                 self.send(&planned, PlainStream::new(stream), &mut random).await;
             }
@@ -288,7 +288,13 @@
     }
 
     /// The head of a request; `length` is that of the body in bytes.
-    fn request_head(&self, planned: &PlannedRequest, id: RequestId, wait: Duration, length: usize) -> String {
+    fn request_head(
+        &self,
+        planned: &PlannedRequest,
+        id: RequestId,
+        time_limit: Duration,
+        length: usize,
+    ) -> String {
         let (method, class, key) = match planned.effect {
             Effect::Pure => ("GET", "search", String::new()),
             Effect::Keyed => ("POST", "update", format!("Idempotency-Key: k{id:x}\r\n")),
@@ -305,40 +311,45 @@
             "{method} /{class}/{:016x}{query} HTTP/1.1\r\nHost: backend.local\r\nX-Correlation-Id: {id:016x}\r\n\
              Plan: {plan}\r\nX-Time-Left-Ms: {}\r\n{key}{length}Quota-Info: units={},spread={spread},first={first}\r\n\r\n",
             planned.customer,
-            wait.as_millis(),
+            time_limit.as_millis(),
             planned.units,
         )
     }
 
     /// Sends one request and waits for its end, which is recorded if the whole request could be written.
-    async fn send(&self, planned: &PlannedRequest, mut stream: PlainStream, random: &mut Rng) -> ClientEnd {
+    async fn send(
+        &self,
+        planned: &PlannedRequest,
+        mut stream: PlainStream,
+        random: &mut Rng,
+    ) -> ClientOutcome {
         let id = self.next_id.fetch_add(1, Ordering::Relaxed);
-        let wait = self.client_timeout(planned, random);
+        let time_limit = self.client_timeout(planned, random);
         let body = match planned.behavior {
             Behavior::Uploads { bytes, .. } => bytes,
             _ => 64,
         };
-        let head = self.request_head(planned, id, wait, body);
+        let head = self.request_head(planned, id, time_limit, body);
         let body = vec![b'b'; if planned.effect == Effect::Pure { 0 } else { body }];
         let slowly = matches!(planned.behavior, Behavior::Uploads { slowly: true, .. });
         if let Err(end) = self.write_request(&mut stream, head.as_bytes(), &body, slowly).await {
             // The request was not written in full: no answer is due, though the gateway may have sent one.
             return end;
         }
-        let usual = planned.behavior == Behavior::Usual && planned.customer != GREEDY_CUSTOMER;
+        let counts_for_recovery = planned.behavior == Behavior::Usual && planned.customer != GREEDY_CUSTOMER;
         let long_answer = matches!(planned.behavior, Behavior::Downloads { .. });
-        self.trace.record(Event::Sent(SentRequest {
+        self.trace.record(Event::RequestSent(SentRequest {
             id,
             gateway: planned.gateway,
             effect: planned.effect,
             customer: planned.customer,
-            wait,
+            timeout: time_limit,
             long_answer,
-            usual,
+            counts_for_recovery,
         }));
         if let Behavior::Leaves { after, resets } = planned.behavior {
             if let Ok(end) = timeout(after, self.read_answer(id, &mut stream)).await {
-                self.trace.record(Event::Ended { id, end: end.clone() });
+                self.trace.record(Event::RequestEnded { id, end: end.clone() });
                 return end;
             }
             if resets {
@@ -346,19 +357,20 @@
             }
             drop(stream);
             self.trace.record(Event::ClientLeft { id });
-            self.trace.record(Event::Ended { id, end: ClientEnd::Left });
-            return ClientEnd::Left;
+            self.trace.record(Event::RequestEnded { id, end: ClientOutcome::Left });
+            return ClientOutcome::Left;
         }
-        let answer_timeout = if long_answer { LONG_ANSWER_TIMEOUT } else { wait + NO_ANSWER_MARGIN };
-        let end =
-            timeout(answer_timeout, self.read_answer(id, &mut stream)).await.unwrap_or(ClientEnd::Silent);
-        if matches!(end, ClientEnd::Answered { .. }) {
+        let answer_timeout = if long_answer { LONG_ANSWER_TIMEOUT } else { time_limit + NO_ANSWER_MARGIN };
+        let end = timeout(answer_timeout, self.read_answer(id, &mut stream))
+            .await
+            .unwrap_or(ClientOutcome::NoAnswer);
+        if matches!(end, ClientOutcome::Answered { .. }) {
             let mut idle = self.idle_connections(planned.gateway);
             if idle.len() < MAX_IDLE_CONNECTIONS {
                 idle.push(stream);
             }
         }
-        self.trace.record(Event::Ended { id, end: end.clone() });
+        self.trace.record(Event::RequestEnded { id, end: end.clone() });
         end
     }
 
@@ -370,16 +382,16 @@
         head: &[u8],
         body: &[u8],
         slowly: bool,
-    ) -> Result<(), ClientEnd> {
+    ) -> Result<(), ClientOutcome> {
         let mut message = head.to_vec();
         let pieces: Vec<&[u8]> = body.chunks(16 * 1024).collect();
         if pieces.len() <= 1 {
             message.extend_from_slice(body);
         }
-        stream.stream.write_all(&message).await.map_err(|_| ClientEnd::Unread)?;
+        stream.stream.write_all(&message).await.map_err(|_| ClientOutcome::Unread)?;
         if pieces.len() > 1 {
             for piece in pieces {
-                stream.stream.write_all(piece).await.map_err(|_| ClientEnd::Cut)?;
+                stream.stream.write_all(piece).await.map_err(|_| ClientOutcome::Truncated)?;
                 if slowly {
                     sleep(Duration::from_millis(30)).await;
                 }
@@ -389,19 +401,19 @@
     }
 
     /// Reads the answer to a request and tells how it ended.
-    async fn read_answer(&self, id: RequestId, stream: &mut PlainStream) -> ClientEnd {
+    async fn read_answer(&self, id: RequestId, stream: &mut PlainStream) -> ClientOutcome {
         let head = match read_head(stream).await {
             Ok(Some(head)) => head,
             Ok(None) => return classify_close(stream).await,
-            Err(e) if stream.buffer().is_empty() && is_reset(&e) => return ClientEnd::Unread,
-            Err(_) => return ClientEnd::Cut,
+            Err(e) if stream.buffer().is_empty() && is_reset(&e) => return ClientOutcome::Unread,
+            Err(_) => return ClientOutcome::Truncated,
         };
         match read_body(stream, &head, head.status() == 200).await {
             Ok(body) => {
                 let body_fits = head.status() != 200 || body.prefix == format!("{id:016x}").into_bytes();
-                ClientEnd::Answered { status: head.status(), body_fits }
+                ClientOutcome::Answered { status: head.status(), body_fits }
             }
-            Err(_) => ClientEnd::Cut,
+            Err(_) => ClientOutcome::Truncated,
         }
     }
 
@@ -435,8 +447,8 @@
             units: 1,
             behavior: Behavior::Usual,
         };
-        let wait = Duration::from_millis(self.scenario.settings.deadlines_ms[2]);
-        (id, self.request_head(&planned, id, wait, bytes))
+        let time_limit = Duration::from_millis(self.scenario.settings.deadlines_ms[2]);
+        (id, self.request_head(&planned, id, time_limit, bytes))
     }
 
     /// Sends a part of a request, keeps the connection open, and records when the gateway ends it.
@@ -510,10 +522,10 @@
 }
 
 /// Returns `Unread` if the gateway closed the connection over unread bytes, which a reset follows, else `Closed`.
-async fn classify_close(stream: &mut PlainStream) -> ClientEnd {
+async fn classify_close(stream: &mut PlainStream) -> ClientOutcome {
     sleep(RESET_WAIT).await;
     match stream.stream.take_error() {
-        Ok(Some(e)) if is_reset(&e) => ClientEnd::Unread,
-        _ => ClientEnd::Closed,
+        Ok(Some(e)) if is_reset(&e) => ClientOutcome::Unread,
+        _ => ClientOutcome::Closed,
     }
 }
--- a/soak/src/director.rs
+++ b/soak/src/director.rs
@@ -8,7 +8,7 @@
 use crate::stand_in::backend::BackendMode;
 use crate::stand_in::counter::CounterMode;
 use crate::stand_in::discovery::{backend_name, DiscoveryMode};
-use crate::trace::{Event, ToldState};
+use crate::trace::{BackendState, Event};
 use crate::trouble::{Trouble, TroubleKind};
 use crate::world::World;
 use fastrand::Rng;
@@ -116,7 +116,7 @@
             TroubleKind::ShortReads => self.fail_calls(FaultPoint::ShortReceive, SOME_PER_MILLE).await,
             TroubleKind::ShortWrites => self.fail_calls(FaultPoint::ShortSend, SOME_PER_MILLE).await,
             TroubleKind::PathBreaks => self.fail_calls(FaultPoint::Receive, SOME_PER_MILLE / 10).await,
-            TroubleKind::LogFull => self.fail_calls(FaultPoint::Log, 1000).await,
+            TroubleKind::LogFull => self.fail_calls(FaultPoint::LogWrite, 1000).await,
             TroubleKind::LogStalls | TroubleKind::LogCloses => self.disturb_log().await,
             TroubleKind::LinkSilent => self.set_links(LinkMode::Silent).await,
             TroubleKind::LinkOneWay => self.set_links(LinkMode::AnswersHeld).await,
@@ -126,8 +126,8 @@
             }
             TroubleKind::LinkResets => self.reset_links().await,
             TroubleKind::DiscoverySilent => self.set_discovery(DiscoveryMode::Silent).await,
-            TroubleKind::DiscoveryCrowded => self.set_discovery(DiscoveryMode::Crowded).await,
-            TroubleKind::DiscoveryWholeLists => self.set_discovery(DiscoveryMode::WholeLists).await,
+            TroubleKind::DiscoveryCrowded => self.set_discovery(DiscoveryMode::Overloaded).await,
+            TroubleKind::DiscoveryWholeLists => self.set_discovery(DiscoveryMode::FullSnapshots).await,
             TroubleKind::DiscoverySlow => {
                 let max_delay = if self.world.scenario.settings.pushed { 60 } else { 700 };
                 let delay = self.random_ms(max_delay);
@@ -213,13 +213,13 @@
     /// Repeatedly stops the processes for 50 to 140 ms, with pauses of 100 to 300 ms.
     async fn pause(&mut self) {
         while Instant::now() < self.end {
-            let lasted = Duration::from_millis(50) + self.random_ms(90);
+            let duration = Duration::from_millis(50) + self.random_ms(90);
             let processes = self.processes();
             processes.iter().for_each(|process| process.signal(Signal::SIGSTOP));
-            sleep(lasted).await;
+            sleep(duration).await;
             processes.iter().for_each(|process| process.signal(Signal::SIGCONT));
             for gateway in self.gateways() {
-                self.world.trace.record(Event::Paused { gateway, lasted });
+                self.world.trace.record(Event::ProcessPaused { gateway, duration });
             }
             sleep(Duration::from_millis(100) + self.random_ms(200)).await;
         }
@@ -257,17 +257,17 @@
     }
 
     /// Calls the gateway's operators' server to disable or enable a backend, and records that.
-    async fn set_ban(&self, gateway: &GatewayHost, backend: usize, out: bool) {
+    async fn set_ban(&self, gateway: &GatewayHost, backend: usize, disable: bool) {
         let Some(process) = gateway.current() else { return };
-        let call = if out { "disable" } else { "enable" };
+        let call = if disable { "disable" } else { "enable" };
         let target = format!("/backends/{call}?id={}", backend_name(backend));
-        let event = Event::Banned { gateway: gateway.index, backend, out };
-        if !out {
+        let event = Event::BackendDisabled { gateway: gateway.index, backend, disabled: disable };
+        if !disable {
             // The backend may be used again as soon as the call is sent.
             self.world.trace.record(event.clone());
         }
         let answer = process.call_operator_api("PUT", &target).await;
-        if out && answer.is_some_and(|(status, _)| status == 200) {
+        if disable && answer.is_some_and(|(status, _)| status == 200) {
             self.world.trace.record(event);
         }
     }
@@ -324,7 +324,7 @@
             FaultPoint::Socket => &[libc::ENFILE, libc::ENOBUFS],
             FaultPoint::Connect => &[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::ENOBUFS],
             FaultPoint::Receive => &[libc::ETIMEDOUT, libc::EHOSTUNREACH],
-            FaultPoint::Log => &[libc::ENOSPC, libc::EIO],
+            FaultPoint::LogWrite => &[libc::ENOSPC, libc::EIO],
             _ => &[0],
         };
         let errno = errors[self.random.usize(..errors.len())];
@@ -336,7 +336,7 @@
 
     /// Makes receiving, sending and waiting calls fail with EINTR.
     async fn interrupt_calls(&mut self) {
-        let points = [FaultPoint::Receive, FaultPoint::Send, FaultPoint::Wait];
+        let points = [FaultPoint::Receive, FaultPoint::Send, FaultPoint::EpollWait];
         let processes = self.processes();
         for process in &processes {
             points.iter().for_each(|point| process.shim.set_fault(*point, SOME_PER_MILLE, libc::EINTR));
@@ -388,63 +388,63 @@
     /// Sets how discovery answers, until the end of the trouble.
     async fn set_discovery(&mut self, mode: DiscoveryMode) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.discovery.set(*gateway, mode));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_mode(*gateway, mode));
         self.wait_for_end().await;
-        gateways.iter().for_each(|gateway| self.world.discovery.set(*gateway, DiscoveryMode::Well));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_mode(*gateway, DiscoveryMode::Normal));
     }
 
     async fn discovery_down(&mut self) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.discovery.set_open(*gateway, false));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_accepting(*gateway, false));
         self.wait_for_end().await;
-        gateways.iter().for_each(|gateway| self.world.discovery.set_open(*gateway, true));
+        gateways.iter().for_each(|gateway| self.world.discovery.set_accepting(*gateway, true));
     }
 
     /// Sets how the counter answers, until the end of the trouble.
     async fn set_counter(&mut self, mode: CounterMode) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.counter.set(*gateway, mode));
+        gateways.iter().for_each(|gateway| self.world.counter.set_mode(*gateway, mode));
         self.wait_for_end().await;
-        gateways.iter().for_each(|gateway| self.world.counter.set(*gateway, CounterMode::Well));
+        gateways.iter().for_each(|gateway| self.world.counter.set_mode(*gateway, CounterMode::Normal));
     }
 
     async fn counter_away(&mut self) {
         let gateways = self.gateways();
-        gateways.iter().for_each(|gateway| self.world.counter.set_open(*gateway, false));
+        gateways.iter().for_each(|gateway| self.world.counter.set_accepting(*gateway, false));
         self.wait_for_end().await;
-        gateways.iter().for_each(|gateway| self.world.counter.set_open(*gateway, true));
+        gateways.iter().for_each(|gateway| self.world.counter.set_accepting(*gateway, true));
     }
 
     /// Sets how the affected backends work, until the end of the trouble.
     async fn set_backends(&mut self, mode: BackendMode) {
         for backend in self.backends() {
-            self.world.backends[backend].set(mode);
+            self.world.backends[backend].set_mode(mode);
         }
         self.wait_for_end().await;
         for backend in self.backends() {
-            self.world.backends[backend].set(BackendMode::Well);
+            self.world.backends[backend].set_mode(BackendMode::Healthy);
         }
     }
 
     async fn backend_closes_idle(&mut self) {
         let idle_timeout = Duration::from_millis(5) + self.random_ms(150);
         for backend in self.backends() {
-            self.world.backends[backend].close_idle_after(Some(idle_timeout));
+            self.world.backends[backend].set_idle_close(Some(idle_timeout));
         }
         self.wait_for_end().await;
         for backend in self.backends() {
-            self.world.backends[backend].close_idle_after(None);
+            self.world.backends[backend].set_idle_close(None);
         }
     }
 
     /// Fills the accept queues of the affected backends, so that connections are established late or not at all.
     async fn backend_connects_late(&mut self) {
         for backend in self.backends() {
-            self.world.backends[backend].set_stuck(true);
+            self.world.backends[backend].set_backlog_full(true);
         }
         self.wait_for_end().await;
         for backend in self.backends() {
-            self.world.backends[backend].set_stuck(false);
+            self.world.backends[backend].set_backlog_full(false);
         }
     }
 
@@ -453,13 +453,13 @@
         let (world, backend) = (self.world, self.trouble.backend);
         let Ok(_guard) = world.backend_lifecycles[backend].try_lock() else { return };
         let since = world.discovery.registry.since_ms(backend);
-        world.discovery.registry.publish(backend, ToldState::Draining, since);
+        world.discovery.registry.publish(backend, BackendState::Draining, since);
         if self.random.bool() {
-            world.backends[backend].set(BackendMode::TurnsAway);
+            world.backends[backend].set_mode(BackendMode::Rejects);
         }
         self.wait_for_end().await;
-        world.discovery.registry.publish(backend, ToldState::Gone, since);
-        world.backends[backend].die();
+        world.discovery.registry.publish(backend, BackendState::Deleted, since);
+        world.backends[backend].crash();
         sleep(MIN_RESTART_PAUSE + self.random_ms(400)).await;
         self.start_backend(backend);
     }
@@ -469,10 +469,10 @@
         let (world, backend) = (self.world, self.trouble.backend);
         let Ok(_guard) = world.backend_lifecycles[backend].try_lock() else { return };
         let since = world.discovery.registry.since_ms(backend);
-        world.backends[backend].die();
+        world.backends[backend].crash();
         if self.random.bool() {
             sleep(self.random_ms(300)).await;
-            world.discovery.registry.publish(backend, ToldState::Gone, since);
+            world.discovery.registry.publish(backend, BackendState::Deleted, since);
         }
         self.wait_for_end().await;
         self.start_backend(backend);
@@ -480,7 +480,7 @@
 
     fn start_backend(&self, backend: usize) {
         self.world.backends[backend].start_cold();
-        self.world.discovery.registry.publish(backend, ToldState::Serving, unix_ms());
+        self.world.discovery.registry.publish(backend, BackendState::Serving, unix_ms());
     }
 
     /// Sets how often clients behave in one way, until the end of the trouble.
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -164,7 +164,7 @@
         let child = command.spawn().context("cannot start the gateway's program")?;
         drop(command);
         let pid = child.id().context("the gateway's process has no id")?;
-        trace.record(Event::Started { gateway: launch.gateway });
+        trace.record(Event::ProcessStarted { gateway: launch.gateway });
         let log = Arc::new(LogReader::default());
         let (log_reader, log_trace, gateway) = (log.clone(), trace.clone(), launch.gateway);
         std::thread::spawn(move || log_reader.read_lines(reader, log_trace, gateway, pid));
@@ -205,7 +205,7 @@
         self.exit_expected.store(true, Ordering::Relaxed);
         if !self.has_exited() {
             let planned = self.terminated.load(Ordering::Relaxed);
-            self.trace.record(Event::Killed { gateway: self.gateway, planned });
+            self.trace.record(Event::ProcessKilled { gateway: self.gateway, planned });
         }
         self.signal(Signal::SIGKILL);
     }
@@ -227,7 +227,7 @@
         let began = Instant::now();
         while began.elapsed() < READY_TIMEOUT && !self.has_exited() {
             if self.call_operator_api("GET", "/ready").await.is_some_and(|(status, _)| status == 200) {
-                self.trace.record(Event::Ready { pid: self.pid, after: Some(began.elapsed()) });
+                self.trace.record(Event::ProcessReady { pid: self.pid, after: Some(began.elapsed()) });
                 self.descriptors_when_ready.store(self.open_descriptors(), Ordering::Relaxed);
                 self.memory_when_ready_kb.store(self.resident_memory_kb() as usize, Ordering::Relaxed);
                 return true;
@@ -235,7 +235,7 @@
             sleep(READY_INTERVAL).await;
         }
         if !self.exit_expected.load(Ordering::Relaxed) {
-            self.trace.record(Event::Ready { pid: self.pid, after: None });
+            self.trace.record(Event::ProcessReady { pid: self.pid, after: None });
         }
         false
     }
@@ -275,16 +275,16 @@
             .await
             .and_then(|(_, text)| serde_json::from_str::<serde_json::Value>(&text).ok());
         let Some(metrics) = metrics else {
-            return self.trace.record(Event::FiguresMissing { gateway });
+            return self.trace.record(Event::FinalMetricsMissing { gateway });
         };
         let guards = metrics.get("guard_violations").and_then(|v| v.as_object());
         let violations = guards.into_iter().flat_map(|m| m.values()).filter_map(|v| v.as_u64()).sum();
         let healthy = self.call_operator_api("GET", "/ready").await.is_some_and(|(status, _)| status == 200);
-        self.trace.record(Event::Figures {
+        self.trace.record(Event::FinalMetrics {
             gateway,
             violations,
             descriptors: self.open_descriptors(),
-            descriptors_ready: self.descriptors_when_ready.load(Ordering::Relaxed),
+            descriptors_when_ready: self.descriptors_when_ready.load(Ordering::Relaxed),
             memory_kb: (self.resident_memory_kb(), self.memory_when_ready_kb.load(Ordering::Relaxed) as u64),
             tasks: metrics.get("tasks").and_then(|v| v.as_u64()),
             healthy,
@@ -301,8 +301,8 @@
     exit: watch::Sender<bool>,
     trace: Arc<Trace>,
 ) {
-    let how = child.wait().await.map_or_else(|e| e.to_string(), |status| status.to_string());
+    let exit_status = child.wait().await.map_or_else(|e| e.to_string(), |status| status.to_string());
     let expected = expected.load(Ordering::Relaxed);
-    trace.record(Event::Exited { gateway, pid, how, expected });
+    trace.record(Event::ProcessExited { gateway, pid, exit_status, expected });
     exit.send_replace(true);
 }
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -5,7 +5,7 @@
 
 pub use control::{FaultPoint, CONTROL_VARIABLE};
 
-use control::{Control, CONTROL_BYTES};
+use control::{ControlPage, CONTROL_BYTES};
 use memmap2::MmapRaw;
 use std::fs::File;
 use std::path::Path;
@@ -22,12 +22,12 @@
         Ok(ShimControl(MmapRaw::map_raw(&file)?))
     }
 
-    fn page(&self) -> &Control {
-        // SAFETY: the mapping is at least as long as `Control`, aligned for it, and lives as long as `self`. All its
+    fn page(&self) -> &ControlPage {
+        // SAFETY: the mapping is at least as long as `ControlPage`, aligned for it, and lives as long as `self`. All its
         // fields are atomic, and the other side only reads them.
         #[allow(unsafe_code)]
         unsafe {
-            &*self.0.as_ptr().cast::<Control>()
+            &*self.0.as_ptr().cast::<ControlPage>()
         }
     }
 
@@ -41,6 +41,6 @@
 
     /// Sets the offset of the process's wall clock in microseconds.
     pub fn set_wall_clock_offset(&self, offset_us: i64) {
-        self.page().wall_clock_offset.store(offset_us, Relaxed);
+        self.page().wall_clock_offset_us.store(offset_us, Relaxed);
     }
 }
