--- a/node/src/driver.rs
+++ b/node/src/driver.rs
@@ -56,7 +56,7 @@
     },
     /// The request failed; a backend may have processed it.
     Failed,
-    /// The client has closed its connection, so that nothing is sent.
+    /// The client has closed its connection, so nothing is sent to it.
     ClientClosed,
 }
 
@@ -197,7 +197,8 @@
         &self.0.pool.guard
     }
 
-    /// The number of connections to backends that failed on this machine, by error name.
+    /// The number of times that opening a connection to a backend failed because of an error on this machine (such as
+    /// `EMFILE`), by error name.
     pub fn local_failures(&self) -> serde_json::Map<String, serde_json::Value> {
         self.0.pool.local_failures.report()
     }
@@ -217,7 +218,8 @@
         let shutdown_deadline = self.0.clock.now() + time_limit;
         self.0.shutdown_deadline.set(Some(shutdown_deadline));
         let (mut state, mut moved) = (self.0.state.borrow_mut(), Vec::new());
-        // The requests get the new deadline themselves, so that no attempt that ends at shutdown is retried.
+        // The deadline of each request moves together with its timer: no attempt may begin after the deadline, so an
+        // attempt that is ended by the shutdown is not repeated.
         for (id, request) in &mut state.requests {
             if request.deadline > shutdown_deadline {
                 moved.push((std::mem::replace(&mut request.deadline, shutdown_deadline), *id));
@@ -454,10 +456,10 @@
 
 impl Subscriber for Driver {
     /// Applies a list from discovery. Returns true if the decision module asks for the whole list.
-    fn list_received(&self, mut list: EndpointList, older: bool) -> bool {
+    fn list_received(&self, mut list: EndpointList, regressed: bool) -> bool {
         self.0.has_backend_list.set(true);
         self.0.list_received.notify_one();
-        if older {
+        if regressed {
             let state = self.0.state.borrow();
             list.endpoints.retain_mut(|e| state.backends.merge_possibly_stale(e));
         }
@@ -476,14 +478,14 @@
 }
 
 impl CallObserver for Driver {
-    fn call_ended(&self, name: CounterKey, result: CounterResult, elapsed: Micros) {
+    fn call_ended(&self, key: CounterKey, result: CounterResult, elapsed: Micros) {
         self.0.state.borrow_mut().report_counts.count_call(result);
-        self.handle_event(Event::CounterCallEnded { key: name, result, elapsed });
+        self.handle_event(Event::CounterCallEnded { key, result, elapsed });
     }
 
-    fn overdue_call_ended(&self, name: CounterKey, amount: f64, result: CounterResult) {
+    fn overdue_call_ended(&self, key: CounterKey, amount: f64, result: CounterResult) {
         self.0.state.borrow_mut().report_counts.count_overdue_call(result);
-        self.handle_event(Event::OverdueCallEnded { key: name, amount, result });
+        self.handle_event(Event::OverdueCallEnded { key, amount, result });
     }
 }
 
--- a/node/src/driver/actions.rs
+++ b/node/src/driver/actions.rs
@@ -13,9 +13,9 @@
 struct SendOrder {
     id: RequestId,
     backend: BackendId,
-    /// How long the attempt may take, in microseconds.
+    /// How long the attempt may take, in microseconds; `None` for no limit but the request's deadline.
     timeout: Option<Micros>,
-    /// The time from which on the attempt may no longer begin.
+    /// The attempt may only begin before this time; `None` for no limit but the request's deadline.
     begin_by: Option<Micros>,
     reason: SendReason,
 }
@@ -146,8 +146,8 @@
         });
     }
 
-    /// Ends an attempt in flight, for whatever reason it ends. Stops its task if it still runs, which closes its
-    /// connection.
+    /// Ends an attempt in flight; every attempt that was started ends here, whatever the reason. Stops its task if it
+    /// still runs, which closes its connection.
     pub(super) fn end_attempt(
         &self,
         state: &mut DriverState,
--- a/node/src/driver/backend_list.rs
+++ b/node/src/driver/backend_list.rs
@@ -9,10 +9,11 @@
 
 /// The maximum number of listed backends; further ones are ignored. It also limits the number of gone ones kept.
 pub(super) const MAX_BACKENDS: usize = 4096;
-/// How long a gone backend is remembered, in microseconds. No list that arrives is older than this.
+/// How long a gone backend is remembered, in microseconds, so that an old list cannot return it to service. No list
+/// that arrives is older than this.
 const GONE_RETENTION: Micros = 120_000_000;
 
-/// A backend that is gone.
+/// What is remembered of a backend that is gone.
 struct GoneBackend {
     /// The start of its last process, in milliseconds of Unix time.
     since_ms: u64,
--- a/node/src/figures.rs
+++ b/node/src/figures.rs
@@ -37,6 +37,8 @@
     class_names: Vec<String>,
     /// Finished requests by class and outcome.
     request_counts: RefCell<Vec<[u64; 3]>>,
+    /// Requests that have been received completely, or answered before that, and whose answer is not ready or is still
+    /// being streamed.
     in_progress: Cell<u64>,
     answers_interrupted: [Cell<u64>; AnswerInterruption::ALL.len()],
     uploads_interrupted: [Cell<u64>; UploadInterruption::ALL.len()],
--- a/node/src/reasons.rs
+++ b/node/src/reasons.rs
@@ -114,13 +114,14 @@
 }
 
 impl ReasonCounts {
-    /// Counts and logs a refused request.
+    /// Counts and logs a refused request, given by its correlation id.
     pub fn record_refusal(&self, request: &str, reason: RefusalCause) {
         self.refused.count(reason.name());
         log::debug!("request {request:?} refused: {}", reason.name());
     }
 
-    /// Logs an attempt that is begun, and counts it unless it is the first one of its request.
+    /// Logs an attempt that is begun, and counts it unless it is the first one of its request. `request` is the
+    /// correlation id of the request.
     pub fn record_attempt(
         &self,
         request: &str,
--- a/node/src/server.rs
+++ b/node/src/server.rs
@@ -37,15 +37,15 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// The interval between checks of all connections.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
-/// The interval between checks while a request waits for its answer. Usually the runtime reports at once that its
-/// client has closed the connection; the checks find the cases that it does not report.
+/// The interval between checks while a request waits for its answer. Usually the runtime reports at once that the
+/// client has closed its connection; the checks find the cases that the runtime does not report.
 const WATCH_INTERVAL_WAITING: Duration = Duration::from_millis(40);
-/// During a drain, connections close after their next answer; after this time, idle ones are closed as well, except
-/// new ones that may be about to send a request. They are to be closed by 2 s, so that no request taken later is
-/// still in progress at 4 s.
+/// During a drain, connections close after their next answer; this long after its start, idle ones are closed as
+/// well, except new ones that may be about to send a request. All must be closed within 2 s of the start, so that no
+/// request accepted after that is still in progress 4 s after the start.
 const DRAIN_GRACE: Duration = Duration::from_millis(1_000);
-/// How often a new connection waits for room, for [`ROOM_WAIT`] each time. In total, this is longer than a connection
-/// may take to send a request head before it can be evicted.
+/// How often a new connection waits for room, for [`ROOM_WAIT`] each time. In total, this is longer than the time
+/// after which a connection can be evicted for a slow request head.
 const MAX_ROOM_WAITS: u32 = 40;
 /// How long a new connection waits before it tries again to evict another. Also the pause after a failed accept.
 const ROOM_WAIT: Duration = Duration::from_millis(10);
@@ -149,8 +149,9 @@
         self.successor_serving.set(true);
     }
 
-    /// Closes the connections that have had no request for `min_idle`. One on which a request has begun gets its
-    /// answer first.
+    /// Closes the connections that have had no request for `min_idle`, and at least for [`NEXT_REQUEST_GRACE`]. One
+    /// on which a request has begun is left open: it closes with the answer, as this is called only during a drain or
+    /// a shutdown.
     pub fn close_idle(&self, min_idle: Duration, reason: CloseReason) {
         let connections = self.connections.borrow();
         let idle = connections.values().filter(|c| matches!(c.phase(), Phase::New | Phase::Idle));
@@ -224,8 +225,8 @@
     /// Evicts one connection if possible: one without any data first, then an idle one, then one with a slow request.
     /// Connections that have been evicted before are skipped: one stays open until its client reads its last answer,
     /// and must not block the eviction of others. New connections are spared because they may be about to send a
-    /// request. If they are at least as many as the candidates, only a connection without data is evicted: soon some
-    /// of the new ones will be such.
+    /// request. If they are at least as many as the candidates, only a connection without data is evicted: some of the
+    /// new ones will soon have been without data for long enough to be candidates themselves.
     fn evict_one(&self) {
         let (connections, now) = (self.connections.borrow(), Instant::now());
         let remaining = connections.values().filter(|c| !c.evicted.get());
@@ -345,8 +346,9 @@
         }
     }
 
-    /// Waits until the client closes its connection while its request waits. The HTTP library does not read beyond
-    /// the request and would not notice it, so that requests without a client would be sent to backends.
+    /// Waits until the client closes its connection while its request waits for its answer. The HTTP library does not
+    /// read beyond the request and would not notice the close, so the requests of clients that have left would be sent
+    /// to backends.
     async fn wait_for_client_close(&self, client: &ClientConnection) {
         let mut closed = pin!(client.meter.wait_peer_closed());
         poll_fn(|cx| match client.phase() {
--- a/node/src/server/handler.rs
+++ b/node/src/server/handler.rs
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Receives a small body completely, and the beginning of a larger one. Returns the answer to send on failure.
+    /// Receives a small body completely, and the beginning of a larger one. `length` is the announced length in bytes,
+    /// `None` for a chunked body. Returns the answer to send on failure.
     async fn receive_body(
         &self,
         head: &Parts,
