--- a/node/src/backend/attempt.rs
+++ b/node/src/backend/attempt.rs
@@ -1,4 +1,5 @@
-//! Attempts and probes. Each uses a single connection.
+//! Attempts, which send a client's request to a backend, and probes of ejected backends. Each is sent over a single
+//! connection.
 
 use super::load_report::{parse_billed_units, parse_load_report};
 use super::message::{strip_hop_by_hop, Message, Payload};
@@ -23,7 +24,7 @@
 
 /// How long a chunked response, whose length is unknown, is buffered. If it is not complete by then, it is streamed.
 const MAX_GATHER_TIME: Duration = Duration::from_millis(25);
-/// How long before the request's deadline buffering a chunked response ends at the latest.
+/// Buffering a chunked response ends at least this long before the request's deadline.
 const GATHER_MARGIN: Duration = Duration::from_millis(5);
 /// A probe without a response after this time has failed.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
@@ -56,7 +57,7 @@
 pub struct AttemptLimits {
     /// The response is waited for until this deadline.
     pub deadline: Deadline,
-    /// The attempt may only be sent before this time, however long connecting takes.
+    /// The attempt may only be sent before this time, however long connecting takes; `None` sets no limit.
     pub begin_by: Option<Instant>,
 }
 
@@ -275,8 +276,8 @@
     }
 
     /// Buffers a response that may be small, if there is memory for it. A response of unknown length that may be
-    /// passed on is buffered for at most `MAX_GATHER_TIME` and until `GATHER_MARGIN` before the deadline: buffering
-    /// up to the deadline would time the attempt out although its first bytes have arrived in time.
+    /// passed on is buffered for at most `MAX_GATHER_TIME`, and at the latest until `GATHER_MARGIN` before the
+    /// deadline: buffering up to the deadline would time the attempt out although its first bytes arrived in time.
     async fn gather(&self, body: Incoming, length: Option<u64>, deadline: Option<&Deadline>) -> Gathered {
         let small = length.is_none_or(|n| n <= MAX_BUFFERED_BYTES as u64);
         let bytes = length.and_then(|n| usize::try_from(n).ok()).unwrap_or(MAX_BUFFERED_BYTES);
--- a/node/src/backend/load_report.rs
+++ b/node/src/backend/load_report.rs
@@ -1,4 +1,4 @@
-//! Parses what backends report about themselves in response header fields.
+//! Parses the load reports and billed units in backends' responses.
 
 use caperwind::{LoadField, LoadReport};
 
@@ -13,7 +13,7 @@
 }
 
 /// Parses a load report of the form `TEXT name=value, name=value`. Names that are not among `fields` and values that
-/// cannot be read are ignored.
+/// are not numbers from 0 to `MAX_LOAD` are ignored.
 pub fn parse_load_report(fields: &[LoadField], text: &str) -> LoadReport {
     // A value that is not reported is NaN, so that the decision module does not take it for zero.
     let mut report = LoadReport { len: 0, values: [f32::NAN; 4] };
--- a/node/src/backend/message.rs
+++ b/node/src/backend/message.rs
@@ -88,8 +88,9 @@
         matches!(&self.body, Payload::Streamed(source) if source.started())
     }
 
-    /// Returns the time that a backend is told it has, given the `time_left`. It is at most `client_wait`: while the
-    /// body is still being received, the client's wait has not begun.
+    /// Returns the time that a backend is told it has, given the `time_left` until the deadline. It is at most
+    /// `client_wait`: while the body is still being received, the client's wait has not begun, and the deadline may be
+    /// further off.
     pub(super) fn announced_time(&self, time_left: Duration) -> Duration {
         time_left.min(self.client_wait)
     }
--- a/node/src/backend/pool.rs
+++ b/node/src/backend/pool.rs
@@ -73,7 +73,7 @@
     pub attempts_written: Rc<Cell<u64>>,
     /// Checks each attempt before it is sent.
     pub guard: Rc<Guard>,
-    /// Counts connections that failed for reasons of this machine.
+    /// Counts connections that could not be opened because of an error of this machine.
     pub local_failures: LocalFailures,
 }
 
@@ -141,7 +141,7 @@
         let keep = |entry: &(Connection, Instant)| {
             entry.0.link.usable() && entry.1.elapsed() < self.idle_timeout.get()
         };
-        self.backends.borrow_mut().values_mut().for_each(|p| p.idle.retain(keep));
+        self.backends.borrow_mut().values_mut().for_each(|backend| backend.idle.retain(keep));
     }
 
     /// Disables a backend for an operator, closing its idle connections, or enables it again.
@@ -157,7 +157,7 @@
 
     /// Returns the generation of a backend; `None` if it is disabled or not in service.
     pub(super) fn generation(&self, id: BackendId) -> Option<u64> {
-        let generation = self.backends.borrow().get(&id).filter(|p| p.in_service).map(|p| p.generation);
+        let generation = self.backends.borrow().get(&id).filter(|b| b.in_service).map(|b| b.generation);
         generation.filter(|_| !self.disabled.borrow().contains(&id))
     }
 
@@ -179,7 +179,7 @@
     /// Closes the connection that has been idle for the longest time; returns `None` if no connection is idle.
     fn close_oldest_idle(&self) -> Option<()> {
         let mut backends = self.backends.borrow_mut();
-        let oldest = backends.values_mut().filter(|p| !p.idle.is_empty()).min_by_key(|p| p.idle[0].1)?;
+        let oldest = backends.values_mut().filter(|b| !b.idle.is_empty()).min_by_key(|b| b.idle[0].1)?;
         oldest.idle.remove(0);
         Some(())
     }
@@ -205,20 +205,20 @@
         Some(Permit(self.open.clone()))
     }
 
-    /// Opens a connection to a backend, retrying for up to [`MAX_RETRY_TIME`] while it fails for reasons of this
-    /// machine.
+    /// Opens a connection to a backend, retrying for up to [`MAX_RETRY_TIME`] while this fails because of an error of
+    /// this machine.
     ///
     /// # Errors
     ///
-    /// Returns [`Outcome::ConnectFailed`] if the backend can't be reached, [`Outcome::NotSent`] if the backend is
-    /// unknown or the failure is local.
+    /// Returns [`Outcome::ConnectFailed`] if the backend can't be reached, and [`Outcome::NotSent`] if it is unknown,
+    /// the connection bound is reached or the error is this machine's.
     pub(super) async fn open_connection(&self, id: BackendId) -> Result<Connection, Outcome> {
         let (started, mut pause) = (Instant::now(), FIRST_RETRY_PAUSE);
         loop {
-            let backend = self.backends.borrow().get(&id).map(|p| (p.address, p.generation));
+            let backend = self.backends.borrow().get(&id).map(|b| (b.address, b.generation));
             let (address, generation) = backend.ok_or(Outcome::NotSent)?;
-            // Reaching the connection bound here says nothing about the backend; as `ConnectFailed` it would get the
-            // backend ejected.
+            // Reaching this process's connection bound says nothing about the backend; as `ConnectFailed` it would get
+            // the backend ejected.
             let permit = self.acquire_permit().ok_or(Outcome::NotSent)?;
             let local_failure = match timeout(self.connect_timeout, Link::connect(address)).await {
                 Ok(Ok(link)) => return Ok(Connection { link, address, generation, _permit: permit }),
--- a/node/src/body/answer_limit.rs
+++ b/node/src/body/answer_limit.rs
@@ -10,13 +10,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after the deadline a response that is not known to be long may go on. The client has to be told within
-/// half a second of the deadline that the response is interrupted.
+/// How long after the deadline a short response, or one of unknown length of which no bytes have arrived since the
+/// deadline, is still waited for. The client has to be told within half a second of the deadline that the response is
+/// interrupted.
 pub const LATE_GRACE: Duration = Duration::from_millis(400);
 /// A long response from which no bytes arrive for this time has stalled. Four consecutive losses of a segment, which
 /// TCP retransmits after 0.2 s, 0.4 s, 0.8 s and 1.6 s, stay below it.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// The maximum total wait after the deadline for a response that is still not known to be long.
+/// The maximum total wait after the deadline for a response that keeps arriving but is still not known to be long.
 pub const MAX_UNKNOWN_LENGTH_WAIT: Duration = Duration::from_secs(10);
 /// The maximum total wait after the deadline for a long response.
 pub const MAX_LONG_WAIT: Duration = Duration::from_secs(900);
--- a/node/src/body/download.rs
+++ b/node/src/body/download.rs
@@ -17,8 +17,8 @@
 /// How long to wait at a time for bytes that have arrived in the socket but have not been read yet.
 const UNREAD_RECHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A request's deadline, shared by its clones. It can be moved when the request's time starts to count later than
-/// first assumed.
+/// A request's deadline, shared by its clones. It moves when a streamed request body is complete, since the client's
+/// wait counts from there, and when the process shuts down.
 #[derive(Clone)]
 pub struct Deadline(Rc<DeadlineState>);
 
--- a/node/src/body/interruption.rs
+++ b/node/src/body/interruption.rs
@@ -66,9 +66,9 @@
     ClientBroke,
     /// The body is longer than [`MAX_BODY_BYTES`](super::MAX_BODY_BYTES).
     TooLong,
-    /// The client sends it too slowly.
+    /// The client sends the body too slowly.
     TooSlow,
-    /// Its connection was evicted in favour of another one.
+    /// The client's connection was evicted in favour of another one.
     MadeWay,
     /// The request got its final response before its body was complete.
     AnsweredEarly,
--- a/node/src/body/upload.rs
+++ b/node/src/body/upload.rs
@@ -74,6 +74,7 @@
     /// Where to count the attempt as written; used once the length of the whole request is known.
     write_target: RefCell<Option<WriteTarget>>,
     backpressure: Rc<Backpressure>,
+    /// Notified when `state` or `in_use` changes.
     changed: Notify,
 }
 
@@ -173,7 +174,8 @@
         }
     }
 
-    /// Ready after each piece of data, and once the body is complete or interrupted.
+    /// Polls for the next piece of data and discards it. Ready after each piece, and once the body is complete or
+    /// interrupted.
     fn poll_drain(&self, cx: &mut Context<'_>) -> Poll<()> {
         let next = self.poll_data(cx);
         if next.is_ready() || self.state.get() != State::Open {
--- a/node/src/discovery.rs
+++ b/node/src/discovery.rs
@@ -1,5 +1,6 @@
 //! Follows discovery's list of backends: reads the full list, then makes one watch (long-poll) call after another
-//! and passes each list to the subscriber in order.
+//! and passes each list to the subscriber in order. Each list has an index, its version number; a watch names the
+//! index that is held and is answered when there is a newer list, or after its wait time.
 
 mod agent;
 pub mod patience;
@@ -21,7 +22,7 @@
 
 /// Receives the lists that discovery sends.
 pub trait Subscriber {
-    /// Takes over a list. `regressed` says that the list's index is below the newest one seen, or that nothing
+    /// Called with each list. `regressed` says that the list's index is below the newest one seen, or that nothing
     /// has been received from this agent yet, so that the list may be older than what is held. Returns true if
     /// the full list is to be read next.
     fn list_received(&self, list: EndpointList, regressed: bool) -> bool;
@@ -64,14 +65,14 @@
     call_started_at: Instant,
     /// The number of consecutive calls that returned no list.
     consecutive_failures: u32,
-    /// The number of consecutive timeouts at the end of these failures.
+    /// The number of consecutive timeouts up to the last call; 0 if it ended in any other way.
     consecutive_timeouts: u32,
     last_logged_at: Option<Instant>,
     rng: fastrand::Rng,
 }
 
 /// Follows the list for as long as the process runs, at the address that `address` holds at the time.
-/// `held_index` is the index of the list that the process started with, if any.
+/// `held_index` is the index of the list that the process started with, if any. `seed` seeds the jitter of the delays.
 pub async fn follow(
     mut address: watch::Receiver<SocketAddr>,
     subscriber: impl Subscriber,
@@ -104,8 +105,8 @@
         };
         tokio::select! {
             () = session_and_backoff => {}
-            // After a change of address, the new agent's state counts as known to this gateway soon, so neither a
-            // watch open at the old address nor a backoff delay is waited out. The new agent may number its lists
+            // After a change of address, the gateway is soon expected to know the new agent's list, so neither a watch
+            // open at the old address nor a backoff delay is waited out. The new agent may number its lists
             // differently.
             Ok(()) = address.changed() => {
                 (follower.held_index, follower.newest_index) = (None, None);
@@ -147,7 +148,7 @@
         loop {
             let timeouts = self.next_timeouts();
             let list = match self.held_index {
-                // The next call is sent at once: within 200 ms it continues the watch.
+                // Each watch is sent at once after the last response: within 200 ms it continues the watch before it.
                 Some(index) => {
                     let wait = self.watch_wait();
                     let path = format!("/v1/servers?index={index}&wait={}", wait.as_millis());
@@ -173,8 +174,9 @@
         }
     }
 
-    /// Returns the timeouts of the next call. In pushed mode, drains that a silent agent hides count as known the
-    /// moment it is back, so the timeouts grow only while no backend is known that might drain.
+    /// Returns the timeouts of the next call. In pushed mode, the gateway is expected to know of drains that happened
+    /// while the agent was silent as soon as the agent is back, so the timeouts grow only while no backend is known
+    /// that might drain.
     fn next_timeouts(&self) -> CallTimeouts {
         match self.settings.mode {
             Discovery::Pushed if self.subscriber.knows_any_backend() => self.timeouts,
@@ -182,9 +184,9 @@
         }
     }
 
-    /// Returns how long the next watch is to wait. Discovery may have had news while a call timed out, so the
-    /// next watch asks for an immediate answer until one comes, and continued silence shows soon. A discovery
-    /// that rejects calls is responsive; if it serves the whole fleet, it gets no more calls than needed.
+    /// Returns how long the next watch is to wait. Discovery may have had news while a call timed out, so watches ask
+    /// for an immediate answer until one comes, and continued silence shows soon. A discovery that rejects calls is
+    /// responsive; on request, where it serves the whole fleet, a rejection is no reason to call it more often.
     fn watch_wait(&self) -> Duration {
         let immediate = match self.settings.mode {
             Discovery::Pushed => self.consecutive_failures > 0,
--- a/node/src/discovery/agent.rs
+++ b/node/src/discovery/agent.rs
@@ -25,7 +25,7 @@
     connection_task: AbortHandle,
 }
 
-/// Closes the connection, also while a call on it has had no response.
+/// Closes the connection, even while a call on it is waiting for its response.
 impl Drop for Connection {
     fn drop(&mut self) {
         self.connection_task.abort();
@@ -101,7 +101,7 @@
 impl fmt::Display for Failure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Failure::Overloaded(status) => write!(f, "turned away: {status}"),
+            Failure::Overloaded(status) => write!(f, "call rejected, status {status}"),
             Failure::TimedOut(message) => f.write_str(message),
             Failure::Unreadable(message) | Failure::Other(message) => f.write_str(message),
         }
--- a/node/src/discovery/patience.rs
+++ b/node/src/discovery/patience.rs
@@ -1,9 +1,9 @@
 //! Timeouts of calls to discovery, and the backoff after calls that failed.
 //!
-//! A gateway counts as informed of a change 6 s after discovery has it and can be reached, whatever became of
-//! earlier calls. So every wait here has a bound of its own that does not depend on the size of the fleet: a call
-//! that gets no answer just before discovery comes back ends within `MAX_CALL_DURATION`, or the next call begins
-//! within one and a half `MAX_CALL_INTERVAL` of its start, and that one is answered.
+//! A gateway is expected to know a change 6 s after discovery has it and can be reached, whatever became of earlier
+//! calls. So every wait here has a bound of its own that does not depend on the size of the fleet: a call that is
+//! lost just before discovery comes back ends within `MAX_CALL_DURATION`, or the next call begins within one and a
+//! half `MAX_CALL_INTERVAL` of the start of the lost one, and that next call is answered.
 
 use super::FollowSettings;
 use caperwind::Discovery;
@@ -13,21 +13,23 @@
 pub const MAX_CALL_DURATION: Duration = Duration::from_secs(4);
 /// The longest interval between the starts of two calls, before jitter, which adds up to half of it.
 pub const MAX_CALL_INTERVAL: Duration = Duration::from_secs(3);
-/// The shortest timeout of calls to a local agent: a response over the loopback takes no longer than this.
+/// The shortest timeout of calls to a local agent, and the shortest wait of a watch there: a response over the
+/// loopback takes no longer than this.
 const MIN_PUSHED_TIMEOUT: Duration = Duration::from_millis(50);
 /// The shortest wait after a failed call, before jitter.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The longest interval between calls on request for a small fleet.
+/// The longest interval between failing calls on request, before jitter, for a fleet too small for
+/// `MAX_INTERVAL_PER_GATEWAY` to give more.
 const SMALL_FLEET_MAX_INTERVAL: Duration = Duration::from_millis(400);
-/// The longest interval between calls on request, per gateway of the fleet. Discovery's queue is bounded, and a
+/// The longest interval between failing calls on request, per gateway of the fleet. Discovery's queue is bounded, and a
 /// call that waits there too long is worked on in vain, so intervals grow with the fleet.
 const MAX_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(80);
 /// The first interval after a call that discovery rejected, per gateway of the fleet.
 const OVERLOADED_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(20);
 /// The first interval after a call that failed otherwise, per gateway of the fleet.
 const ERROR_INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(2);
-/// The time over which the first calls of a fleet are spread that has started at once with a list in hand: per
-/// gateway, and the maximum in all.
+/// The time over which a fleet spreads its first calls if its gateways start together with a list in hand: the time
+/// per gateway, and the maximum in all.
 const FIRST_CALL_SPREAD: (Duration, Duration) = (Duration::from_millis(20), MAX_CALL_INTERVAL);
 
 /// The kind of a failed call, which decides when the next one is made.
@@ -43,10 +45,10 @@
 
 /// The time limits of calls.
 ///
-/// In pushed mode, the state of the local agent counts as known to this gateway whatever becomes of its watch,
-/// and only the end of a watch tells one that gets no answer from one without news. Calls cost nothing there, so
-/// a watch without an answer ends, and the next call is answered, within the shortest drain grace. On request,
-/// calls are few and wait in discovery's queue; a change counts as known at the latest 2 s after that wait.
+/// In pushed mode, the gateway is expected to know the state of its local agent whatever becomes of its watch, and
+/// until a watch ends, one that will never be answered looks like one without news. Calls cost nothing there, so a
+/// watch without an answer ends, and the next call is answered, within the shortest drain grace. On request, calls
+/// are few and wait in discovery's queue; a change is expected to be known at the latest 2 s after that wait.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
     /// The limit on connecting.
@@ -79,8 +81,8 @@
     }
 
     /// Returns the timeouts after so many consecutive timeouts, each of which doubles them up to
-    /// `MAX_CALL_DURATION`. With fixed timeouts, a slow discovery would be given up at the same point each time,
-    /// would never be heard and would work in vain.
+    /// `MAX_CALL_DURATION` (half of it for connecting). With fixed timeouts, a slow discovery would be given up at the
+    /// same point each time, would never be heard and would work in vain.
     pub fn after_timeouts(self, consecutive_timeouts: u32) -> Self {
         let extended = |limit: Duration| {
             limit.saturating_mul(1 << consecutive_timeouts.min(8)).min(MAX_CALL_DURATION.max(limit))
@@ -157,8 +159,8 @@
 }
 
 /// Returns how long a gateway that starts with a list in hand waits before its first call, at `fraction` (0 to 1)
-/// of the spread. In pushed mode it does not wait: the agent's state counts as known at once, calls to it cost
-/// nothing, and a gateway that waits would send to backends that have long been draining.
+/// of the spread. In pushed mode it does not wait: the gateway is expected to know the agent's state at once, calls
+/// cost nothing, and a gateway that waits would send to backends that have long been draining.
 pub fn initial_delay(settings: FollowSettings, fraction: f64) -> Duration {
     match settings.mode {
         Discovery::Pushed => Duration::ZERO,
--- a/node/src/link.rs
+++ b/node/src/link.rs
@@ -27,14 +27,14 @@
 pub struct Link {
     sender: http1::SendRequest<RequestBody>,
     meter: Rc<Meter>,
-    task: AbortHandle,
+    connection_task: AbortHandle,
 }
 
 /// Closes the socket at once. An aborted task keeps its resources until the runtime gets to it, but the callers'
 /// bounds on connections stop counting this one on drop, so its descriptor must be free by then.
 impl Drop for Link {
     fn drop(&mut self) {
-        self.task.abort();
+        self.connection_task.abort();
         self.meter.close();
     }
 }
@@ -51,10 +51,10 @@
         let meter = Meter::new(stream);
         let mut http = http1::Builder::new();
         http.max_buf_size(MAX_HEAD_BYTES);
-        let (sender, conn) =
+        let (sender, connection) =
             http.handshake(TokioIo::new(MeteredStream(meter.clone()))).await.map_err(io::Error::other)?;
-        let task = tokio::task::spawn_local(async move { drop(conn.await) }).abort_handle();
-        Ok(Link { sender, meter, task })
+        let connection_task = tokio::task::spawn_local(async move { drop(connection.await) }).abort_handle();
+        Ok(Link { sender, meter, connection_task })
     }
 
     /// Returns whether the peer has not closed the connection and has sent nothing unexpected. Bytes after the end of
--- a/node/src/meter.rs
+++ b/node/src/meter.rs
@@ -18,7 +18,7 @@
 
 /// The largest head of an HTTP message that is accepted, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Most heads are at most this long, in bytes.
+/// Most heads are at most this long, in bytes; a recorded head is searched for its end only from this length on.
 const TYPICAL_HEAD_BYTES: usize = 1024;
 /// How many bytes that follow a request are read ahead while the request is processed, so that the client's closing
 /// of the connection behind them is detected. This is enough for a thousand pipelined requests. Bytes beyond it are
@@ -216,10 +216,10 @@
         }
     }
 
-    /// Reads ahead while the socket's user does not read. Ready once the peer has closed, or has sent more than is
-    /// read ahead and discarded at most. With `discard_excess`, bytes beyond the read-ahead bound are discarded, and
-    /// the user reads nothing after the bytes read ahead. If the peer sends more than the socket buffers hold, its
-    /// closing reaches this machine only after those bytes are read.
+    /// Reads ahead while the socket's user does not read. Ready once the peer has closed, the connection has failed,
+    /// or `MAX_DISCARDED_BYTES` have been discarded. With `discard_excess`, bytes beyond the read-ahead bound are
+    /// discarded, and the user reads nothing after the bytes read ahead: if the peer sends more than the socket
+    /// buffers hold, its closing reaches this machine only after those bytes are read.
     pub fn poll_read_ahead(&self, cx: &mut Context<'_>, budget: &Budget, discard_excess: bool) -> Poll<()> {
         let Ok(stream) = self.stream() else { return Poll::Ready(()) };
         let mut ahead = self.ahead.borrow_mut();
@@ -227,7 +227,8 @@
             if ready!(stream.poll_read_ready(cx)).is_err() {
                 return Poll::Ready(());
             }
-            // There is no wait for memory in the budget: the runtime may be notified of the end without a read.
+            // If the budget has no memory to spare, nothing more is read, and memory is not waited for: the runtime may
+            // be notified without a read that the peer has closed.
             let space = if ahead.discarded > 0 { Some(0) } else { ahead.reserve_space(budget) };
             let Some(space) = space else { return Poll::Pending };
             let result = if space > 0 {
