--- a/benchlink/src/lib.rs
+++ b/benchlink/src/lib.rs
@@ -1,5 +1,6 @@
 //! Translates between the simulator's wire format and the events and actions of caperwind.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod codes;
 mod settings;
--- a/node/src/backend/pool.rs
+++ b/node/src/backend/pool.rs
@@ -90,7 +90,7 @@
             connect_timeout: Duration::from_micros(setup.decision_config.connect_timeout),
             load_fields: setup.decision_config.load_fields.clone(),
             max_units: setup.decision_config.max_units.max(1.0),
-            body_budget: Budget::new(setup.max_body_bytes),
+            body_budget: Budget::new(setup.body_budget_bytes),
             disabled: RefCell::default(),
             attempts_written: Rc::default(),
             guard: Rc::default(),
--- a/node/src/config.rs
+++ b/node/src/config.rs
@@ -14,7 +14,8 @@
 /// Descriptors of a process that belong to no pool: those of the runtime, the log and the listener, a connection
 /// being accepted, discovery's before and after a reload, and those that are closed but not yet released.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The minimum share of connections to clients, and to backends, without which a gateway makes no progress.
+/// The minimum number of connections from clients, and of those to backends, without which a gateway makes no
+/// progress.
 const MIN_CONNECTIONS: usize = 8;
 /// The descriptor limit if the file states none, and its upper bound.
 const MAX_DESCRIPTORS: usize = 1024;
@@ -25,7 +26,7 @@
 const COUNTER_CONNECTIONS: usize = 20;
 /// The number of connections to the counter for each of two processes.
 const COUNTER_CONNECTIONS_PAIRED: usize = 10;
-/// The fraction of the memory (one in so many) that request bodies may hold, and response bodies as much again.
+/// Request bodies may hold the memory limit divided by this number, and response bodies as much again.
 const BODY_MEMORY_DIVISOR: usize = 8;
 
 /// The configuration file.
@@ -71,8 +72,8 @@
 }
 
 impl ConnectionLimits {
-    /// Divides `descriptors` among the connections of so many processes together; only `counter` is for each
-    /// process. Fails if too few would be left for clients and backends.
+    /// Divides `descriptors` among the connections that `processes` processes have together; only `counter` is for
+    /// each process. Fails if too few would be left for clients and backends.
     fn for_processes(descriptors: usize, processes: usize, counter: usize) -> Result<Self, String> {
         let reserved = processes * (RESERVED_DESCRIPTORS + counter + MAX_OPERATOR_CONNECTIONS);
         let min_descriptors = reserved + 2 * MIN_CONNECTIONS;
@@ -122,8 +123,9 @@
     pub handover_socket: Option<PathBuf>,
     /// The maximum number of concurrent connections of operators.
     pub max_operator_connections: usize,
-    /// The number of bytes that request bodies may hold together, and response bodies as many again.
-    pub max_body_bytes: usize,
+    /// The memory budget in bytes that all buffered request bodies share. Buffered response bodies share another
+    /// budget of this size.
+    pub body_budget_bytes: usize,
     /// How long a connection to a backend may be idle before this side closes it.
     pub backend_idle_timeout: Duration,
 }
@@ -159,7 +161,7 @@
 
 impl Reload {
     /// Reads the file again. Only the file counts on a reload, since `NODE_DISCOVERY` keeps its value from the
-    /// start of the process.
+    /// start of the process. The error is one line that names the file.
     pub fn from_file() -> Result<Self, String> {
         read_config_file()
     }
@@ -176,7 +178,7 @@
         let idle_close = Duration::from_micros(idle_close.unwrap_or(15_000_000));
         let limits = file.limits.unwrap_or(Limits { sockets: None, memory_mb: None });
         let max_descriptors = limits.sockets.unwrap_or(MAX_DESCRIPTORS).min(process_descriptor_limit());
-        let max_body_bytes = (limits.memory_mb.unwrap_or(32) << 20) / BODY_MEMORY_DIVISOR;
+        let body_budget_bytes = (limits.memory_mb.unwrap_or(32) << 20) / BODY_MEMORY_DIVISOR;
         let counter = match file.counter {
             Some(text) => Some(text.parse().map_err(|e| format!("counter {text:?}: {e}"))?),
             None => None,
@@ -202,7 +204,7 @@
             seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| seed_from_text(&file.seed)),
             initial_list: file.known,
             decision_config,
-            max_body_bytes,
+            body_budget_bytes,
             max_descriptors,
             solo_limits: ConnectionLimits::for_processes(max_descriptors, 1, COUNTER_CONNECTIONS)?,
             paired_limits: ConnectionLimits::for_processes(max_descriptors, 2, COUNTER_CONNECTIONS_PAIRED)?,
--- a/node/src/counter.rs
+++ b/node/src/counter.rs
@@ -169,9 +169,9 @@
         });
     }
 
-    /// Takes the settled connection that has been idle longest. Use in turn gives each the longest time to settle
-    /// and keeps open all that a burst needs. A new connection would cost the call a round trip, and might never
-    /// come up.
+    /// Takes the settled connection (idle for at least [`REUSE_DELAY`]) that has been idle longest. Use in turn gives
+    /// each the longest time to settle and keeps open all that a burst needs. A new connection would cost the call
+    /// a round trip, and might never come up.
     fn reuse(&self) -> Option<Link> {
         let mut idle = self.idle.borrow_mut();
         while let Some(at) = idle.iter().position(|(_, since)| since.elapsed() >= REUSE_DELAY) {
--- a/node/src/endpoints.rs
+++ b/node/src/endpoints.rs
@@ -61,11 +61,11 @@
 #[derive(Serialize, Deserialize, Clone, Copy)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Status {
-    /// It takes requests.
+    /// The backend takes requests.
     Serving,
-    /// It finishes the requests that it has, and takes no new ones.
+    /// The backend finishes the requests that it has, and takes no new ones.
     Draining,
-    /// It no longer exists.
+    /// The backend no longer exists.
     Deleted,
 }
 
--- a/node/src/handover.rs
+++ b/node/src/handover.rs
@@ -31,7 +31,8 @@
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 /// The maximum size of a message; a longer one fails to parse, which ends the connection.
 const MAX_MESSAGE_BYTES: u64 = 8 << 20;
-/// How long a successor may take to send its first message. It has to be ready within 6 s, and says so.
+/// How long a successor may take to send its first message. It has to be ready within 6 s, and then sends
+/// [`Message::Serving`].
 const FIRST_MESSAGE_TIMEOUT: Duration = Duration::from_secs(10);
 /// The wait after accepting a connection has failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
@@ -49,13 +50,11 @@
     /// The first message from a successor: it serves clients from now on.
     Serving,
     /// An operator has disabled or enabled a backend.
-    #[serde(rename = "bar")]
-    DisableBackend {
+    Bar {
         /// The backend's name in discovery's list.
         name: String,
-        /// Whether the backend is disabled from now on.
-        #[serde(rename = "out")]
-        disabled: bool,
+        /// Whether the backend is disabled (rather than enabled) from now on.
+        out: bool,
     },
     /// An operator has switched draining on or off.
     Drain {
@@ -63,11 +62,9 @@
         on: bool,
     },
     /// The connections that the sender has open, which count towards the limits of both processes together.
-    #[serde(rename = "held")]
-    OpenConnections(OpenConnections),
+    Held(OpenConnections),
     /// The last message of a process that ends: units that it has not added to the counter.
-    #[serde(rename = "spent")]
-    UnsyncedUnits(Vec<UnsyncedUnits>),
+    Spent(Vec<UnsyncedUnits>),
 }
 
 /// The state that a successor takes over.
@@ -103,7 +100,7 @@
 /// The connection to another process.
 struct Peer {
     outgoing: mpsc::UnboundedSender<String>,
-    /// Whether this process has received a message over it.
+    /// Whether this process has received a message from the other.
     has_sent_message: bool,
     reader: AbortHandle,
     writer: JoinHandle<()>,
@@ -144,7 +141,7 @@
         this
     }
 
-    /// Follows the open connections of the other process; `None` while no other process is connected.
+    /// Returns a receiver of the other process's open connections; `None` while no other process is connected.
     pub fn peer_connections(&self) -> watch::Receiver<Option<OpenConnections>> {
         self.peer_connections.subscribe()
     }
@@ -187,11 +184,7 @@
         let recipient =
             peers.iter().max_by_key(|(id, peer)| (successor == Some(**id), peer.has_sent_message, **id));
         if let Some((_, recipient)) = recipient {
-            drop(
-                recipient
-                    .outgoing
-                    .send(encode_line(&Message::UnsyncedUnits(self.driver.take_unsynced_units()))),
-            );
+            drop(recipient.outgoing.send(encode_line(&Message::Spent(self.driver.take_unsynced_units()))));
         }
     }
 
@@ -311,15 +304,15 @@
 
     fn handle(&self, id: u64, message: Message) {
         self.peers.borrow_mut().entry(id).and_modify(|peer| peer.has_sent_message = true);
-        if let Message::DisableBackend { .. } | Message::Drain { .. } = &message {
+        if let Message::Bar { .. } | Message::Drain { .. } = &message {
             self.relay(id, &message);
         }
         match message {
             Message::Serving => self.successor.set(Some(id)),
-            Message::DisableBackend { name, disabled } => self.driver.set_backend_disabled(&name, disabled),
+            Message::Bar { name, out } => self.driver.set_backend_disabled(&name, out),
             Message::Drain { on } => self.driver.set_draining(on),
-            Message::OpenConnections(open) => drop(self.peer_connections.send_replace(Some(open))),
-            Message::UnsyncedUnits(units) => self.driver.add_unsynced_units(units),
+            Message::Held(open) => drop(self.peer_connections.send_replace(Some(open))),
+            Message::Spent(units) => self.driver.add_unsynced_units(units),
             // A process takes over state only from the first message of its predecessor.
             Message::State(_) => {}
         }
--- a/node/src/handover/meeting_point.rs
+++ b/node/src/handover/meeting_point.rs
@@ -7,7 +7,9 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// A process that is alive accepts a connection at once.
+/// How long connecting to the process that owns the path may take. A process that is alive accepts at once, and a
+/// socket without a process refuses at once; a connection that does neither in this time counts as a process that
+/// is alive.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The device and inode of a file, which identify it whatever its path.
@@ -27,7 +29,8 @@
 }
 
 impl HandoverListener {
-    /// Takes over the path from the predecessor, which stays connected to this process by then.
+    /// Listens at the path in place of the predecessor, if there is one; this process has tried to connect to it
+    /// before.
     pub fn claim(path: PathBuf) -> Self {
         let mut listener = HandoverListener { path, bound: None, failure_logged: false };
         listener.bind();
--- a/node/src/lib.rs
+++ b/node/src/lib.rs
@@ -1,6 +1,7 @@
 //! badgerglade: a quota-keeping HTTP gateway for order traffic on real sockets. The program runs
 //! [`process::run`]; the other modules are public for the tests and tools of this repository.
 #![deny(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod admission;
 pub mod backend;
--- a/node/src/logging.rs
+++ b/node/src/logging.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The default of how many lines a [`LimitedLog`] writes in a second.
+/// The number of lines that a [`LimitedLog`] writes in a second by default.
 const MAX_LINES_PER_SECOND: u32 = 10;
 const SECOND: Duration = Duration::from_secs(1);
 /// The size of a line, including its end, that a writable pipe takes at once (`PIPE_BUF` on Linux). A longer line
--- a/node/src/ops.rs
+++ b/node/src/ops.rs
@@ -150,7 +150,7 @@
             return text_answer(StatusCode::NOT_FOUND, "no backend of this id\n");
         }
         self.driver.set_backend_disabled(&id, disabled);
-        self.handover.broadcast(&Message::DisableBackend { name: id.to_string(), disabled });
+        self.handover.broadcast(&Message::Bar { name: id.to_string(), out: disabled });
         log::info!("ops: backend {id:?} {}", if disabled { "disabled" } else { "enabled" });
         text_answer(StatusCode::OK, "done\n")
     }
--- a/node/src/process.rs
+++ b/node/src/process.rs
@@ -18,14 +18,15 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long new connections are accepted after SIGTERM. The load balancer goes on opening them for up to 0.4 s.
+/// How long new connections are accepted after SIGTERM. The load balancer that spreads clients' requests over the
+/// gateways goes on opening them for up to 0.4 s.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(700);
 /// How long after SIGTERM connections are mainly closed with a response; only those idle for at least
 /// [`LONG_IDLE_TIME`] are closed without one.
 const CLOSE_BY_ANSWER_PERIOD: Duration = Duration::from_millis(1_200);
-/// The idle time from which a connection is closed without a response in that period.
+/// The idle time from which a connection is closed without a response during [`CLOSE_BY_ANSWER_PERIOD`].
 const LONG_IDLE_TIME: Duration = Duration::from_millis(300);
-/// The upper bound on the longest deadline of the classes, where it sets how long requests may go on after
+/// The maximum that the longest deadline of the classes counts for in computing how long requests may go on after
 /// SIGTERM.
 const MAX_ANSWER_DEADLINE: Duration = Duration::from_secs(3);
 /// How long requests may go on after SIGTERM beyond the longest deadline.
@@ -35,7 +36,7 @@
 /// How long this process waits for the first list of backends before it serves, while another process serves.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// How long a response may bring no bytes in the last phase of a shutdown before it is cut off, unless it is known
-/// to be long. The same time is left after the limit on requests for their last bytes.
+/// to be long. Also the time that the last bytes of responses have after the limit on requests has passed.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long to try to listen at the clients' address. The process has 30 s to become ready.
 const MAX_LISTEN_WAIT: Duration = Duration::from_secs(20);
@@ -92,7 +93,7 @@
         async move { timers.run_timers().await }
     });
 
-    let body_budget = Budget::new(setup.max_body_bytes);
+    let body_budget = Budget::new(setup.body_budget_bytes);
     let server = Server::new(driver.clone(), metrics.clone(), solo_limits.clients, body_budget);
     let handover = Handover::join(driver.clone(), setup.handover_socket).await;
     if let Some(address) = setup.ops {
@@ -115,7 +116,8 @@
         });
     }
     let (discovery_sender, discovery_address) = watch::channel(setup.discovery);
-    // A list taken over from another process is checked against discovery's full list.
+    // A list taken over from another process is checked against discovery's full list, so discovery is asked without
+    // an index then.
     let held_index = known_index.filter(|_| !handover.has_peers());
     let settings = discovery::FollowSettings::from_config(driver.config());
     let subscriber = driver.clone();
@@ -175,7 +177,7 @@
             if accept.is_finished() {
                 break;
             }
-            // The connections that are waiting to be accepted now are the last ones.
+            // The connections in the listen queue are the last ones that are accepted.
             stop_sender.send_replace(true);
         }
         // A request may be on its way on any open connection. Connections in use are closed with a response. The
@@ -212,7 +214,7 @@
     std::process::exit(0);
 }
 
-/// Reads the configuration file again at each SIGHUP.
+/// Reads the configuration file again at each SIGHUP, for as long as the process runs.
 async fn reload_on_hangup(
     mut hangup: Signal,
     discovery_sender: watch::Sender<SocketAddr>,
@@ -279,7 +281,7 @@
         counter.set_max_connections(limits.counter);
         let own = OpenConnections { clients: server.connection_count(), backends: pool.open_connections() };
         if other.is_some() && own != last_sent {
-            handover.broadcast(&Message::OpenConnections(own));
+            handover.broadcast(&Message::Held(own));
             last_sent = own;
         }
         // While there is another process, the number of open connections here has to be checked regularly;
@@ -289,8 +291,8 @@
     }
 }
 
-/// Returns how long requests may go on after SIGTERM. SIGKILL comes no earlier than the longest deadline (counted
-/// as at most 3 s) plus 0.7 s.
+/// Returns how long requests may go on after SIGTERM. SIGKILL follows SIGTERM no earlier than after the longest
+/// deadline (counted as at most 3 s) plus 0.7 s.
 fn answer_period(config: &caperwind::Config) -> Duration {
     let longest_deadline = config.classes.iter().map(|class| Duration::from_micros(class.deadline)).max();
     longest_deadline.map_or(MAX_ANSWER_DEADLINE, |deadline| deadline.min(MAX_ANSWER_DEADLINE))
--- a/node/tests/pool.rs
+++ b/node/tests/pool.rs
@@ -51,7 +51,7 @@
         inherited_listener_fd: None,
         handover_socket: None,
         max_operator_connections: 1,
-        max_body_bytes: 1 << 20,
+        body_budget_bytes: 1 << 20,
         backend_idle_timeout: TEST_TIMEOUT,
     });
     pool.update_backend(ID, backend, true, false);
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -3,6 +3,7 @@
 //!
 //! The program is `main.rs`; this library is public for the tests. See `docs/soak.md`.
 #![deny(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod batch;
 pub mod client;
