--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -23,8 +23,9 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// The maximum number of idle connections to one gateway.
 const MAX_IDLE_CONNECTIONS: usize = 24;
-/// The time that a bad peer waits; a gateway must end its connection within 3 s.
-const BAD_PEER_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// The time that a bad peer waits for the gateway to answer or close its connection. It is longer than the 3 s that the
+/// oracle allows, so that a late gateway is seen.
+const BAD_PEER_WAIT: Duration = Duration::from_millis(4_000);
 
 /// How the front sends requests to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -458,7 +459,7 @@
         let (_, head) = self.usual_request_head(gateway, 4096);
         let part = &head.as_bytes()[..random.usize(0..=head.len())];
         let _ = stream.stream.write_all(part).await;
-        let ended = timeout(BAD_PEER_TIMEOUT, stream.fill()).await.is_ok();
+        let ended = timeout(BAD_PEER_WAIT, stream.fill()).await.is_ok();
         let ended_after = ended.then(|| began.elapsed());
         self.trace.record(Event::BadPeer { gateway, ended_after });
     }
--- a/soak/src/coverage.rs
+++ b/soak/src/coverage.rs
@@ -9,15 +9,16 @@
 /// Troubles count as overlapping when the gap between them is shorter than this.
 const OVERLAP_SLACK: Duration = Duration::from_millis(300);
 
-/// How often each pair of kinds of trouble overlapped, and how often that was in a run in which an invariant broke.
+/// How often each pair of kinds of trouble overlapped, and how often that was in a run that did not hold.
 #[derive(Default)]
 pub struct Coverage {
-    /// Overlaps of each pair, the lesser kind first: all of them, and those in broken runs.
+    /// Overlaps of each pair, the lesser kind first: all of them, and those in runs that did not hold.
     pairs: BTreeMap<(TroubleKind, TroubleKind), (u32, u32)>,
 }
 
 impl Coverage {
-    /// Adds the overlaps of one run; `broke` tells whether an invariant broke in it.
+    /// Adds the overlaps of one run; `broke` tells whether it did not hold: an invariant broke, or it was
+    /// unfinished.
     pub fn record(&mut self, scenario: &Scenario, broke: bool) {
         let troubles = &scenario.troubles;
         for (index, one) in troubles.iter().enumerate() {
--- a/soak/src/director.rs
+++ b/soak/src/director.rs
@@ -248,16 +248,17 @@
     async fn ban(&mut self) {
         let pause = self.random_ms(500);
         let (gateway, backend) = (self.gateway(), self.trouble.backend);
-        self.set_ban(gateway, backend, true).await;
+        self.set_backend_disabled(gateway, backend, true).await;
         self.wait_for_end().await;
-        // The ban is handed over in an upgrade, so the backend is enabled at the process that serves after the upgrade.
+        // A process hands the disabled backends over to its successor in an upgrade, so the backend is enabled at the
+        // process that serves once the upgrade is over.
         let _guard = gateway.lifecycle.lock().await;
         sleep(pause).await;
-        self.set_ban(gateway, backend, false).await;
+        self.set_backend_disabled(gateway, backend, false).await;
     }
 
     /// Calls the gateway's operators' server to disable or enable a backend, and records that.
-    async fn set_ban(&self, gateway: &GatewayHost, backend: usize, disable: bool) {
+    async fn set_backend_disabled(&self, gateway: &GatewayHost, backend: usize, disable: bool) {
         let Some(process) = gateway.current() else { return };
         let call = if disable { "disable" } else { "enable" };
         let target = format!("/backends/{call}?id={}", backend_name(backend));
--- a/soak/src/gateway.rs
+++ b/soak/src/gateway.rs
@@ -22,7 +22,7 @@
 const FIRST_OPS_PORT: u16 = 9001;
 /// The time after SIGTERM during which the front still opens new connections to the process.
 const FRONT_NOTICE_DELAY: Duration = Duration::from_millis(250);
-/// The time from the longest deadline after SIGTERM to SIGKILL.
+/// SIGKILL is sent this long after a request that began just before SIGTERM has reached the longest deadline.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 /// Longer deadlines count as this when the time of SIGKILL is computed.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -162,7 +162,7 @@
     }
 }
 
-/// Performs a command. Returns true if no run broke.
+/// Performs a command. Returns false for the exit code 1: if a run did not hold, or `shrink` saw the seed break.
 async fn perform(command: Command) -> anyhow::Result<bool> {
     match command {
         Command::Troubles => {
--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -5,7 +5,8 @@
 use crate::trace::{BackendState, Entry, Event, GatewayIndex, Moment};
 use std::time::Duration;
 
-/// A published state counts as known to a gateway whose discovery agent has been available for this long since.
+/// A published state counts as known to a gateway whose discovery agent has been available for this long without a
+/// break since then.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(6);
 
 /// Reports attempts that began after the drain grace time of a backend that their gateway must not use.
--- a/soak/src/oracle/health.rs
+++ b/soak/src/oracle/health.rs
@@ -35,9 +35,10 @@
             Invariant::Process,
             format!("process {pid} of gateway {gateway} ended by itself: {exit_status}"),
         ),
-        Event::ProcessReady { pid, after } if after.is_none_or(|after| after > MAX_STARTUP_TIME) => {
-            report(Invariant::Process, format!("process {pid} became ready after {after:?}"))
-        }
+        Event::ProcessReady { pid, after } if after.is_none_or(|after| after > MAX_STARTUP_TIME) => report(
+            Invariant::Process,
+            format!("process {pid} was not ready within {MAX_STARTUP_TIME:?}: time to ready {after:?}"),
+        ),
         Event::FinalMetricsMissing { gateway } => {
             report(Invariant::Serves, format!("gateway {gateway} does not answer its operators"))
         }
--- a/soak/src/oracle/limits.rs
+++ b/soak/src/oracle/limits.rs
@@ -126,8 +126,9 @@
     let greedy = |id| view.sent.get(&id).is_some_and(|(_, request)| request.customer == GREEDY_CUSTOMER);
     let served = served.filter(|a| greedy(a.id)).count() as f64;
     if served < 0.5 * allowed_units {
-        let description =
-            format!("{served} units of a customer over its quota served, {allowed_units:.0} are allowed");
+        let description = format!(
+            "only {served} units of a customer over its quota served, its quota allows {allowed_units:.0}"
+        );
         found.push(Violation::new(Invariant::Recovery, to, description));
     }
 }
--- a/soak/src/oracle/requests.rs
+++ b/soak/src/oracle/requests.rs
@@ -40,7 +40,7 @@
                 let killed = view.was_killed(*gateway, began, entry.at);
                 if !killed && ended_after.is_none_or(|after| after > limit) {
                     let description = format!(
-                        "gateway {gateway} answered or closed a bad peer's connection after {ended_after:?}"
+                        "gateway {gateway} did not answer or close a bad peer's connection within {limit:?}: it took {ended_after:?}"
                     );
                     found.push(Violation::new(Invariant::BadPeer, entry.at, description));
                 }
--- a/soak/src/oracle/view.rs
+++ b/soak/src/oracle/view.rs
@@ -47,7 +47,7 @@
     pub attempts: Vec<ObservedAttempt>,
     /// Indices into `attempts` by request.
     pub attempts_by_request: HashMap<RequestId, Vec<usize>>,
-    /// When processes were killed or ended without being told to, by gateway.
+    /// When processes were killed without a SIGTERM before, or ended by themselves, with their gateway.
     kills: Vec<(GatewayIndex, Moment)>,
     /// Pauses of a gateway's processes: gateway, end and length.
     pauses: Vec<(GatewayIndex, Moment, Duration)>,
@@ -109,7 +109,8 @@
         view
     }
 
-    /// Whether a process of the gateway was killed or ended unexpectedly between `from` and `to`.
+    /// Whether a process of the gateway was killed without a SIGTERM before, or ended by itself, between `from` and
+    /// `to`.
     pub fn was_killed(&self, gateway: GatewayIndex, from: Moment, to: Moment) -> bool {
         self.kills.iter().any(|(g, at)| *g == gateway && *at + TOLERANCE >= from && *at <= to + TOLERANCE)
     }
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -44,7 +44,8 @@
     pub failed: usize,
     /// Requests that got no whole answer.
     pub otherwise: usize,
-    /// The fraction of the requests within their quotas that was served during the measurement after the recovery time.
+    /// The share, from 0 to 1, of the requests within their quotas that was served during the measurement after the
+    /// recovery time; `None` if the measurement was not completed.
     pub recovered: Option<f64>,
     /// The number of attempts at backends.
     pub attempts: usize,
--- a/soak/src/scenario.rs
+++ b/soak/src/scenario.rs
@@ -8,7 +8,7 @@
 
 /// The duration of the traffic before the first trouble.
 pub const TIME_BEFORE_TROUBLES: Duration = Duration::from_millis(1_500);
-/// Troubles start within this time after that, in milliseconds.
+/// The groups of troubles start within this time after `TIME_BEFORE_TROUBLES`, in milliseconds.
 const TROUBLE_SPAN_MS: u64 = 5_500;
 /// The time that the gateways have to recover after the last trouble, before they are measured.
 pub const RECOVERY_TIME: Duration = Duration::from_secs(5);
@@ -38,19 +38,19 @@
     pub drain_grace_ms: u64,
     /// The time within which a request with an idempotency key may be repeated, in milliseconds.
     pub key_window_ms: u64,
-    /// The deadlines of the classes in milliseconds: safe, keyed, unsafe.
+    /// The deadlines of the classes in milliseconds, in the order of `Effect`: pure, keyed, unsafe.
     pub deadlines_ms: [u64; 3],
     /// The time after which backends close idle connections, in milliseconds.
     pub idle_close_ms: u64,
-    /// The fraction of its capacity that a backend has when it starts.
+    /// The share of its capacity that a backend has at a cold start.
     #[serde(rename = "cold_from")]
     pub cold_capacity: f64,
     /// The time that a backend takes to warm up, in milliseconds.
     pub warm_up_ms: u64,
-    /// The load, as a multiple of its present capacity, under which a cold backend collapses.
+    /// The load at which a cold backend collapses, as a multiple of its present capacity.
     #[serde(rename = "fall_multiple")]
     pub collapse_multiple: f64,
-    /// The time for which a cold backend must be under that load to collapse, in milliseconds.
+    /// The time for which a cold backend must be under that load before it collapses, in milliseconds.
     #[serde(rename = "fall_after_ms")]
     pub collapse_after_ms: u64,
     /// The time limit of a call to the counter, in milliseconds.
--- a/soak/src/trace.rs
+++ b/soak/src/trace.rs
@@ -36,10 +36,10 @@
     pub customer: u64,
     /// How long the client waits for the answer, as stated in the request.
     pub timeout: Duration,
-    /// Asks for a long answer, which may go on after the timeout.
+    /// Whether it asks for a long answer, which may go on after the timeout.
     pub long_answer: bool,
-    /// Within its customer's quota, with the usual timeout, and from a client that waits: counts for the share of
-    /// requests that must be served after the recovery time.
+    /// Whether it counts for the share of requests that must be served after the recovery time: it is within its
+    /// customer's quota, with the usual timeout, and from a client that waits.
     pub counts_for_recovery: bool,
 }
 
--- a/soak/src/trouble.rs
+++ b/soak/src/trouble.rs
@@ -65,7 +65,7 @@
     DiscoverySlow,
     /// Discovery rejects most calls.
     DiscoveryCrowded,
-    /// Discovery sends complete lists, without the backends that drain.
+    /// Discovery sends full snapshots, which leave out the backends that drain.
     DiscoveryWholeLists,
     /// The counter refuses connections.
     CounterAway,
--- a/soak/src/world.rs
+++ b/soak/src/world.rs
@@ -24,7 +24,7 @@
     pub scenario: Arc<Scenario>,
     /// The record of events.
     pub trace: Arc<Trace>,
-    /// The programs and the folder.
+    /// The programs and the folder of the run.
     pub paths: ProcessPaths,
     /// The gateways.
     pub gateways: Vec<GatewayHost>,
@@ -40,8 +40,8 @@
     pub clients: Arc<Clients>,
 }
 
-/// The loopback address of a gateway. It contains the process id and the slot, so that no other run on this machine uses
-/// it at the same time.
+/// The loopback address of a gateway. It contains the lower 15 bits of the process id and the slot, to keep the
+/// addresses of runs at the same time on one machine apart.
 fn gateway_ip(slot: usize, gateway: usize) -> IpAddr {
     let pid = std::process::id();
     let last = slot * ADDRESSES_PER_SLOT + gateway + 1;
--- a/soak/tests/oracle.rs
+++ b/soak/tests/oracle.rs
@@ -79,9 +79,9 @@
 fn a_sound_record_holds() {
     let served = attempt(1, 1, 0, 5, 50, AttemptOutcome::Served);
     assert_eq!(broken_invariants(request(Effect::Unsafe, &[served], 55, SERVED)), []);
-    let turned_away = attempt(1, 1, 0, 5, 8, AttemptOutcome::Rejected);
+    let rejected = attempt(1, 1, 0, 5, 8, AttemptOutcome::Rejected);
     let again = attempt(1, 2, 1, 12, 50, AttemptOutcome::Served);
-    assert_eq!(broken_invariants(request(Effect::Unsafe, &[turned_away, again], 55, SERVED)), []);
+    assert_eq!(broken_invariants(request(Effect::Unsafe, &[rejected, again], 55, SERVED)), []);
     let refused = ClientOutcome::Answered { status: 429, body_fits: true };
     assert_eq!(broken_invariants(request(Effect::Unsafe, &[], 1_400, refused)), []);
     assert_eq!(broken_invariants(request(Effect::Pure, &[], 10, ClientOutcome::Unread)), []);
@@ -122,9 +122,9 @@
     assert_eq!(broken_invariants(request(Effect::Keyed, &both(&soon), 95, SERVED)), []);
     assert_eq!(broken_invariants(request(Effect::Keyed, &both(&late), 545, SERVED)), [Invariant::NoRepeat]);
     assert_eq!(broken_invariants(request(Effect::Pure, &both(&late), 545, SERVED)), []);
-    let out = attempt(1, 1, 0, 5, 300, AttemptOutcome::Cancelled);
+    let in_flight = attempt(1, 1, 0, 5, 300, AttemptOutcome::Cancelled);
     assert_eq!(
-        broken_invariants(request(Effect::Pure, &[out, soon.clone()], 95, SERVED)),
+        broken_invariants(request(Effect::Pure, &[in_flight, soon.clone()], 95, SERVED)),
         [Invariant::AttemptLimit]
     );
     let many: Vec<_> =
