--- a/soak/src/http.rs
+++ b/soak/src/http.rs
@@ -1,5 +1,5 @@
-//! The subset of HTTP/1.1 that the stand-ins and the clients use. It shares no code with the gateway, so that a fault in
-//! the gateway's parser cannot hide behind the same fault here.
+//! The subset of HTTP/1.1 that the stand-ins and the clients use. It shares no code with the gateway, so that a fault
+//! in the gateway's parser cannot hide behind the same fault here.
 
 use std::collections::HashMap;
 use std::future::Future;
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -50,7 +50,7 @@
     /// One seed, or a range with both ends: `7`, `1..40`.
     #[arg(long, value_parser = parse_seeds, default_value = "1")]
     seeds: SeedRange,
-    /// Runs at the same time; each needs about 1.5 cores.
+    /// The number of runs at the same time; each needs about 1.5 cores.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
     /// Keep only the drawn troubles with these indices, as printed in a replay command.
--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -25,7 +25,7 @@
                 since,
                 grace,
                 Invariant::Drain,
-                "had learnt that the backend drains or was deleted",
+                "must have learnt that the backend drains or was deleted",
                 found,
             );
         }
@@ -54,7 +54,7 @@
     let gap = attempt.first_byte.saturating_sub(since);
     if gap > grace {
         let description = format!(
-            "gateway {} sent to backend {} {gap:?} after it {reason}",
+            "gateway {} sent a request to backend {}, {gap:?} after it {reason}",
             attempt.gateway, attempt.backend
         );
         found.push(Violation::for_request(invariant, attempt.first_byte, attempt.id, description));
--- a/soak/src/oracle/limits.rs
+++ b/soak/src/oracle/limits.rs
@@ -49,7 +49,7 @@
         .attempts
         .iter()
         .filter(|a| a.backend == backend && a.began >= start && a.began < end)
-        .map(|a| (a.began, knew_of_start(view, a.gateway, backend, start, a.first_byte)))
+        .map(|a| (a.began, was_informed_of_start(view, a.gateway, backend, start, a.first_byte)))
         .collect();
     for (last, (at, _)) in attempts.iter().enumerate() {
         let capacity_share = settings.cold_capacity
@@ -70,7 +70,7 @@
 }
 
 /// Whether discovery told the gateway between `start` and `at` that the backend serves.
-fn knew_of_start(
+fn was_informed_of_start(
     view: &View<'_>,
     gateway: GatewayIndex,
     backend: BackendIndex,
--- a/soak/src/process.rs
+++ b/soak/src/process.rs
@@ -70,7 +70,8 @@
 }
 
 impl LogReader {
-    /// Reads lines until the process closes the log or `closed` is set. Records lines about panics and guard violations.
+    /// Reads lines until the process closes the log or `closed` is set. Records lines about panics and guard
+    /// violations.
     fn read_lines(self: Arc<Self>, pipe: PipeReader, trace: Arc<Trace>, gateway: GatewayIndex, pid: u32) {
         let mut pipe = BufReader::with_capacity(512, pipe);
         let mut line = String::new();
--- a/soak/src/shim.rs
+++ b/soak/src/shim.rs
@@ -23,8 +23,8 @@
     }
 
     fn page(&self) -> &ControlPage {
-        // SAFETY: the mapping is at least as long as `ControlPage`, aligned for it, and lives as long as `self`. All its
-        // fields are atomic, and the other side only reads them.
+        // SAFETY: the mapping is at least as long as `ControlPage`, aligned for it, and lives as long as `self`. All
+        // its fields are atomic, and the other side only reads them.
         #[allow(unsafe_code)]
         unsafe {
             &*self.0.as_ptr().cast::<ControlPage>()
