--- a/soak/src/oracle/drains.rs
+++ b/soak/src/oracle/drains.rs
@@ -5,7 +5,8 @@
 use crate::trace::{BackendState, Entry, Event, GatewayIndex, Moment};
 use std::time::Duration;
 
-/// A published state counts as known to a gateway whose discovery agent has been available for this long since.
+/// A published state counts as known to a gateway whose discovery agent has been available for this long without a
+/// break since then.
 const MAX_PROPAGATION_TIME: Duration = Duration::from_secs(6);
 
 /// Reports attempts that began after the drain grace time of a backend that their gateway must not use.
@@ -24,7 +25,7 @@
                 since,
                 grace,
                 Invariant::Drain,
-                "had learnt that the backend drains or was deleted",
+                "must have learnt that the backend drains or was deleted",
                 found,
             );
         }
@@ -53,7 +54,7 @@
     let gap = attempt.first_byte.saturating_sub(since);
     if gap > grace {
         let description = format!(
-            "gateway {} sent to backend {} {gap:?} after it {reason}",
+            "gateway {} sent a request to backend {}, {gap:?} after it {reason}",
             attempt.gateway, attempt.backend
         );
         found.push(Violation::for_request(invariant, attempt.first_byte, attempt.id, description));
