--- a/benchlink/tests/wire.rs
+++ b/benchlink/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The examples of the wire format's specification, and malformed input.
+//! Tests of the simulator's wire format: the examples of its specification, and malformed input.
 
 use caperwind_benchlink::{parse_settings, Host};
 
--- a/tests/backends.rs
+++ b/tests/backends.rs
@@ -244,8 +244,8 @@
 
 #[test]
 fn a_backend_that_answers_its_first_few_fast_gathers_no_queue() {
-    // Guards against a queue at a backend that has become slow: this shows only in its responses, so that a
-    // backend that got stuck after fast responses attracted all requests.
+    // Guards against a queue at a backend that has become slow: slowness shows only in responses, so that a
+    // backend that got stuck after a few fast ones attracted all requests.
     let mut harness = Harness::new(Config { hedging: false, ..config() }, 4);
     for id in 0..40 {
         for (id, backend) in sent(&harness.request(id, 800 + u64::from(id))) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns [`config`] with a class of this effect.
+/// Returns [`config`] with one class, which has this effect.
 pub fn with_effect(effect: Effect) -> Config {
     Config { classes: vec![Class { effect, ..Class::pure("c", SEC, 2 * SEC) }], ..config() }
 }
@@ -129,8 +129,8 @@
         }))
     }
 
-    /// An attempt ends after `ms` milliseconds, without reports by the backend. Returns the resulting
-    /// actions.
+    /// An attempt ends after `elapsed_ms` milliseconds, and the backend reports neither its load nor a cost.
+    /// Returns the resulting actions.
     pub fn end_attempt(
         &mut self,
         id: u32,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -180,7 +180,7 @@
     harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled: true });
     harness.advance(4 * SEC);
     harness.feed(Event::BackendDisabled { backend: backend_id(0), disabled: false });
-    // The backend is at 0.2 to 0.6 of its capacity, although a stale list has no start time.
+    // The backend is at 0.2 to 0.6 of its capacity. The stale lists that arrive meanwhile lack its start.
     for round in 0..3 {
         let [reenabled, other] = serve(&mut harness, 1_000 * round);
         assert!(
@@ -346,7 +346,7 @@
     assert!(sent(&actions).is_empty(), "a new process does not know what was used before");
 }
 
-/// Guards against another attempt after a part of the body was forwarded that cannot be sent again: the
+/// Guards against another attempt when the body, or a part of it, was forwarded and cannot be sent again: the
 /// request never ran and is refused at once.
 #[test]
 fn rule_2_a_body_that_was_spent_goes_nowhere_else() {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Tests of failures that occur with many gateways only: each gateway sees few requests, and one request from
-//! each of them is hundreds.
+//! Tests of failures that occur with many gateways only: each gateway sees few requests, but one request from
+//! each of them makes hundreds.
 
 mod common;
 use caperwind::*;
@@ -227,7 +227,7 @@
     /// The attempts in flight: when each ends, its gateway, request and backend.
     due: Vec<(Micros, usize, u32, BackendId)>,
     /// The id of the last request.
-    next: u32,
+    last_id: u32,
 }
 
 impl Fleet {
@@ -238,7 +238,7 @@
             harness.spread = f64::from(gateways);
             harness
         });
-        Fleet { harnesses: harnesses.collect(), due: Vec::new(), next: 0 }
+        Fleet { harnesses: harnesses.collect(), due: Vec::new(), last_id: 0 }
     }
 
     /// Sends these rows of the list of backends to all gateways.
@@ -248,9 +248,9 @@
         }
     }
 
-    /// Runs the fleet for `span`, with a request at each gateway every `every`. Returns the time and the
+    /// Runs the fleet for `span`. Each gateway gets one request per `interval`. Returns the time and the
     /// backend of each attempt sent.
-    fn run(&mut self, span: Micros, every: Micros) -> Vec<(Micros, BackendId)> {
+    fn run(&mut self, span: Micros, interval: Micros) -> Vec<(Micros, BackendId)> {
         let (mut sends, step) = (Vec::new(), 10 * MS);
         let gateways = self.harnesses.len() as u64;
         for step_index in 0..span / step {
@@ -263,9 +263,9 @@
                     harness.end_attempt(id, 0, backend, Outcome::Ok, 100);
                 }
                 // Each gateway has its own phase.
-                if (step_index * step + gateway as u64 * every / gateways) % every < step {
-                    self.next += 1;
-                    for (id, backend) in sent(&harness.request(self.next, u64::from(self.next))) {
+                if (step_index * step + gateway as u64 * interval / gateways) % interval < step {
+                    self.last_id += 1;
+                    for (id, backend) in sent(&harness.request(self.last_id, u64::from(self.last_id))) {
                         self.due.push((harness.now + 100 * MS, gateway, id, backend));
                         sends.push((harness.now, backend));
                     }
@@ -280,8 +280,8 @@
 #[test]
 fn cold_backends_get_their_part_from_many_gateways_and_no_more() {
     // Guards against idle cold backends: each of a hundred gateways may send a fraction of a request to a
-    // cold backend. When this was drawn at random per span, hardly any was sent: 36 of 60 backends were idle
-    // and the others overloaded.
+    // cold backend. When each gateway drew at random in each span whether to send one, hardly any were sent:
+    // 36 of 60 backends were idle and the others overloaded.
     let mut fleet = Fleet::new(60, 20);
     fleet.run(4 * SEC, 250 * MS);
     let now = fleet.harnesses[0].now;
@@ -459,7 +459,7 @@
 #[test]
 fn a_counter_that_is_back_from_an_outage_is_soon_relied_on() {
     // Guards against a slow recovery: during an outage each of hundreds of gateways makes about one call per
-    // second, and ten answers were needed.
+    // second, and it took ten answers until a gateway relied on the counter again.
     let mut harness = harness(300, 7, 100);
     let mut id = 0;
     let mut run_for = |harness: &mut Harness, seconds: u32, answer: CounterResult| {
