--- a/node/tests/common/mod.rs
+++ b/node/tests/common/mod.rs
@@ -117,7 +117,8 @@
     Reaction::Answer(answer("200 OK", "", body))
 }
 
-/// Returns a loopback IP address that no other test uses, so that a port that is freed on it is not taken by another.
+/// Returns a loopback IP address that no other test uses, so that a port that is freed on it is not taken by another
+/// test.
 pub fn unique_loopback_ip() -> String {
     /// The number of addresses of one test process, and the number of processes that get separate addresses.
     const MAX_ADDRESSES: u32 = 4_000;
@@ -294,7 +295,7 @@
 struct DiscoveryState {
     index: u64,
     entries: Vec<String>,
-    /// Answer the next call with an invalid list.
+    /// Whether the open watch, or else the next call, gets an invalid list.
     invalid_answer: bool,
 }
 
@@ -346,7 +347,7 @@
         FakeDiscovery { server, state }
     }
 
-    /// Replaces the entries and increments the index; the next watch gets the new list.
+    /// Replaces the entries and increments the index; the open watch, or else the next call, gets the new list.
     pub fn set(&self, entries: Vec<String>) {
         let mut current = self.state.0.lock().expect("unpoisoned");
         current.index += 1;
@@ -354,14 +355,14 @@
         self.state.1.notify_all();
     }
 
-    /// Replaces the list by one with any index; the next watch gets it.
+    /// Replaces the list by one with any index. An open watch gets it only if that index is larger than its own.
     pub fn replace(&self, index: u64, entries: Vec<String>) {
         let mut current = self.state.0.lock().expect("unpoisoned");
         (current.index, current.entries) = (index, entries);
         self.state.1.notify_all();
     }
 
-    /// Answers the next call with an invalid list.
+    /// Answers the open watch, or else the next call, with an invalid list.
     pub fn send_invalid_list_once(&self) {
         self.state.0.lock().expect("unpoisoned").invalid_answer = true;
         self.state.1.notify_all();
--- a/node/tests/connections.rs
+++ b/node/tests/connections.rs
@@ -72,7 +72,7 @@
     assert_eq!(old.requests.try_iter().count(), 0);
 }
 
-/// Guards against telling a backend a remaining time that does not count the time spent connecting to it.
+/// Guards against telling a backend a remaining time that still includes the time already spent connecting to it.
 #[test]
 fn a_late_connection_s_time_is_not_told_as_left() {
     // On a busy machine the connection attempt may begin after the listener has started to accept: then try again.
--- a/node/tests/descriptor_peak.rs
+++ b/node/tests/descriptor_peak.rs
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// The smallest descriptor limit that the terms promise.
+/// The smallest descriptor limit that the platform guarantees to a gateway.
 const DESCRIPTOR_LIMIT: usize = 256;
 /// The number of client connections that the gateway accepts with that limit.
 const MAX_CLIENTS: usize = 102;
--- a/node/tests/descriptor_peak_backends.rs
+++ b/node/tests/descriptor_peak_backends.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::{Duration, Instant};
 
-/// The smallest descriptor limit that the terms promise.
+/// The smallest descriptor limit that the platform guarantees to a gateway.
 const DESCRIPTOR_LIMIT: usize = 256;
 /// The number of client connections that the gateway accepts with that limit.
 const MAX_CLIENTS: usize = 102;
--- a/node/tests/descriptors.rs
+++ b/node/tests/descriptors.rs
@@ -11,11 +11,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The smallest descriptor limit that the terms promise.
+/// The smallest descriptor limit that the platform guarantees to a gateway.
 const DESCRIPTOR_LIMIT: u32 = 256;
 /// The number of client connections that the gateway accepts with that limit.
 const MAX_CLIENTS: usize = 102;
-/// The time within which a pushed list must be applied: the settings' grace of 500 ms and the protocol page's slack.
+/// The time within which a pushed list must be applied: the drain grace of 500 ms in the settings, and the 50 ms that
+/// the protocol allows beyond it.
 const LIST_GRACE: Duration = Duration::from_millis(550);
 /// The first part of a request head.
 const PARTIAL_HEAD: &str = "GET /consulta/0000000000000007 HTTP/1.1\r\nhost: backend.lo";
--- a/node/tests/discovery.rs
+++ b/node/tests/discovery.rs
@@ -215,10 +215,12 @@
     }
 }
 
-/// The index of the list that a gateway knows, and the time at which it received it; `None` if it began with it.
+/// The newest list that a gateway knows.
 #[derive(Default)]
 struct KnownList {
+    /// 0 if the gateway has no list yet.
     index: Cell<u64>,
+    /// When the gateway received that list; `None` if it started with it or has none.
     received_at: Cell<Option<Instant>>,
 }
 
@@ -397,7 +399,7 @@
         println!("{mode:?} {behaviour:?}, fleets of {FLEET_SIZES:?}: {slowest:?}");
     }
     for ((mode, behaviour), slowest) in slowest {
-        // A pushed list counts as told as soon as the agent has it, and binds after the drain grace.
+        // In pushed mode the agent knows a list at once, and a gateway must apply it within the drain grace.
         let bound = if mode == ON_REQUEST { MAX_LIST_DELAY } else { DRAIN_GRACE };
         assert!(slowest.iter().all(|s| *s < bound), "{mode:?} {behaviour:?}: {slowest:?}");
     }
@@ -498,6 +500,8 @@
     }
 }
 
+/// Guards against a first call that comes too late: in pushed mode it is made at once, otherwise at a random time that
+/// still allows the gateway to know a change within `MAX_LIST_DELAY`.
 #[test]
 fn a_pushed_list_is_asked_for_at_once_and_others_before_they_count_as_told() {
     let settings = |mode, gateways| FollowSettings { mode, gateways, drain_grace: DRAIN_GRACE };
@@ -515,6 +519,8 @@
     assert!(initial_delay(on_request, 0.9) > initial_delay(on_request, 0.1), "calls are spread");
 }
 
+/// Guards against time limits and retry intervals with which one silent call hides a change for longer than the drain
+/// grace in pushed mode, or than `MAX_LIST_DELAY`.
 #[test]
 fn silence_is_found_within_the_grace_or_before_what_is_missed_counts_as_told() {
     for grace in [500, 1_000, 2_000, 60_000].map(Duration::from_millis) {
--- a/node/tests/leaving.rs
+++ b/node/tests/leaving.rs
@@ -45,7 +45,7 @@
     other_clients: Vec<Client>,
     /// Returns whether the gateway has cancelled the request.
     is_cancelled: Box<dyn Fn(&Gateway) -> bool>,
-    /// Lets what the request waits for happen; returns the backends that the request could be sent to from then on.
+    /// Brings about what the request waits for; returns the backends that the request could be sent to from then on.
     release: Box<dyn FnOnce() -> Vec<FakeServer>>,
 }
 
--- a/node/tests/restart.rs
+++ b/node/tests/restart.rs
@@ -46,7 +46,7 @@
     let signalled_at = Instant::now();
     fixture.gateway.terminate();
     let mut served = 0;
-    // Well past the time for which the front goes on sending connections.
+    // Well past the time for which the load balancer goes on opening connections.
     while signalled_at.elapsed() < Duration::from_millis(1_500) {
         let mut client = fixture.gateway.client();
         client.send("GET /healthz HTTP/1.1\r\nhost: t\r\n\r\n");
--- a/node/tests/start_failures.rs
+++ b/node/tests/start_failures.rs
@@ -20,7 +20,7 @@
     let gateway = Gateway::launch_at(&options, addresses, discovery.server.address, counter.address);
     std::thread::sleep(IN_USE_FOR);
     drop(holder);
-    // The front admits a gateway once it reports that it is ready; before that, it may lack a list.
+    // The load balancer admits a gateway once it reports that it is ready; before that, it may lack a list.
     let deadline = Instant::now() + TEST_TIMEOUT;
     while gateway.health() != Some(200) {
         assert!(Instant::now() < deadline, "the gateway does not become ready: {}", gateway.log());
